--- a/src/front/count_exchange.cpp
+++ b/src/front/count_exchange.cpp
@@ -11,14 +11,15 @@
 
 namespace {
 
-constexpr loop::milliseconds usage_limit{600};
-constexpr loop::milliseconds usage_connect{250};
-/// Bursts come with each step; a peak is known within a third of a step.
-constexpr loop::milliseconds gather_every{1500};
-/// The bursts of a trainer that is late come so many windows apart.
-constexpr window_number windows_judged = 3;
-/// Hosts of a zone that are asked: its feeder, and the one before that in case it has changed.
-constexpr std::size_t feeders_asked = 2;
+constexpr loop::milliseconds counts_timeout{600};
+constexpr loop::milliseconds counts_connect_timeout{250};
+/// Load comes in bursts, one per training step; with this interval a peak is known within a third
+/// of a step.
+constexpr loop::milliseconds gather_interval{1500};
+/// Windows over which peak demand is taken: the bursts of a late trainer are this far apart.
+constexpr window_number demand_windows = 3;
+/// Hosts asked in each zone: its feeder, and another one in case the feeder has changed recently.
+constexpr std::size_t max_zone_hosts_asked = 2;
 
 report_rules rules_of(const host& self) {
     return rules_for(self.settings.duties ? self.settings.duties->usage_due : milliseconds(0));
@@ -30,58 +31,58 @@
     return window_at(self.usage, now - rules_of(self).kept.count());
 }
 
-/// Both kinds of counts, of windows from `first` to `last`.
+/// Encodes usage and demand counts of the windows from `first` to `last`.
 std::string encode_counts(const host& self, window_number first, window_number last,
-                          std::string_view counter = {}) {
-    const nlohmann::json out = {{"usage", encode_windows(self.usage, first, last, counter)},
-                                {"demand", encode_windows(self.demand, first, last, counter)}};
+                          std::string_view process = {}) {
+    const nlohmann::json out = {{"usage", encode_windows(self.usage, first, last, process)},
+                                {"demand", encode_windows(self.demand, first, last, process)}};
     return out.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-void take_windows(host& self, window_counts& book, const nlohmann::json& value) {
-    const auto told = decode_windows(value);
-    if (!told) {
-        note(self, object_unreadable, {{"kind", "counts"}, {"problem", told.error().detail}});
+void merge_windows(host& self, window_counts& counts, const nlohmann::json& value) {
+    const auto received = decode_windows(value);
+    if (!received) {
+        note(self, object_unreadable, {{"kind", "counts"}, {"problem", received.error().detail}});
         return;
     }
-    merge(book, told.value());
+    merge(counts, received.value());
 }
 
-loop::task<bool> ask_host(std::shared_ptr<host> self, transport::endpoint where,
-                          window_number window) {
-    transport::http_request question;
-    question.path = counts_path;
-    question.query = "window=" + std::to_string(window);
-    question.headers.push_back({"Host", "peer"});
+loop::task<bool> request_counts(std::shared_ptr<host> self, transport::endpoint where,
+                                window_number window) {
+    transport::http_request counts_request;
+    counts_request.path = counts_path;
+    counts_request.query = "window=" + std::to_string(window);
+    counts_request.headers.push_back({"Host", "peer"});
     const auto outcome =
-        co_await loop::call(self->connections, std::move(where), std::move(question),
-                            loop::after(usage_limit), usage_connect);
+        co_await loop::call(self->connections, std::move(where), std::move(counts_request),
+                            loop::after(counts_timeout), counts_connect_timeout);
     if (outcome.fault != loop::exchange_fault::none || outcome.answer.status != 200) {
         co_return false;
     }
-    take_counts(*self, outcome.answer.body);
+    merge_counts(*self, outcome.answer.body);
     co_return true;
 }
 
-/// Asks hosts of one zone, in order; false if none of them has answered.
-loop::task<bool> ask_zone(std::shared_ptr<host> self, std::vector<host_entry> hosts,
-                          window_number window) {
+/// Requests the counts from hosts of one zone, in order; false if none of them responded.
+loop::task<bool> request_zone_counts(std::shared_ptr<host> self, std::vector<host_entry> hosts,
+                                     window_number window) {
     std::size_t answered = 0;
     for (const auto& peer : hosts) {
-        const bool served = co_await ask_host(self, peer.where, window);
-        answered += served ? 1 : 0;
-        if (answered == feeders_asked) {
+        const bool responded = co_await request_counts(self, peer.where, window);
+        answered += responded ? 1 : 0;
+        if (answered == max_zone_hosts_asked) {
             break;
         }
     }
     co_return answered > 0;
 }
 
-loop::task<void> keep_gathering(std::shared_ptr<host> self) {
+loop::task<void> gather_periodically(std::shared_ptr<host> self) {
     for (;;) {
         co_await wait_for_lease(self);
         co_await gather_counts(self, window_at(self->demand, self->clock.wall_now().unix_ms));
-        co_await loop::pause_for(self->io, gather_every);
+        co_await loop::pause_for(self->io, gather_interval);
     }
 }
 
@@ -92,21 +93,21 @@
     return encode_counts(self, oldest_window(self), newest, counter_name(self));
 }
 
-void take_counts(host& self, std::string_view text) {
+void merge_counts(host& self, std::string_view text) {
     if (text.empty()) {
         return;
     }
-    const auto told = nlohmann::json::parse(text, nullptr, false);
-    if (!told.is_object()) {
-        note(self, object_unreadable, {{"kind", "counts"}, {"problem", "no JSON object"}});
+    const auto received = nlohmann::json::parse(text, nullptr, false);
+    if (!received.is_object()) {
+        note(self, object_unreadable, {{"kind", "counts"}, {"problem", "expected a JSON object"}});
         return;
     }
-    take_windows(self, self.usage, told.value("usage", nlohmann::json::object()));
-    take_windows(self, self.demand, told.value("demand", nlohmann::json::object()));
+    merge_windows(self, self.usage, received.value("usage", nlohmann::json::object()));
+    merge_windows(self, self.demand, received.value("demand", nlohmann::json::object()));
 }
 
 loop::task<void> serve_counts(std::shared_ptr<host> self, loop::served_request& request) {
-    take_counts(*self, request.message.body);
+    merge_counts(*self, request.message.body);
     const auto asked = transport::find_query(request.message.query, "window").value_or("");
     const auto window = kernel::parse_integer<window_number>(asked);
     transport::http_response answer{200, {}, {}};
@@ -119,9 +120,9 @@
 loop::task<bool> gather_counts(std::shared_ptr<host> self, window_number window) {
     std::vector<loop::task<bool>> calls;
     for (const auto& [zone, region] : self->settings.region_of_zone) {
-        auto hosts = order_of_zone(zone, self->peers);
+        auto hosts = ranked_zone_hosts(zone, self->peers);
         if (!hosts.empty()) {
-            calls.push_back(ask_zone(self, std::move(hosts), window));
+            calls.push_back(request_zone_counts(self, std::move(hosts), window));
         }
     }
     const auto answered = co_await loop::gather(self->io, std::move(calls));
@@ -129,27 +130,27 @@
 }
 
 loop::task<void> hand_counts_over(std::shared_ptr<host> self) {
-    const auto hosts = order_of_zone(self->settings.zone, self->peers);
+    const auto hosts = ranked_zone_hosts(self->settings.zone, self->peers);
     if (self->usage.windows.empty() || hosts.empty()) {
         co_return;
     }
     const auto newest = window_at(self->usage, self->clock.wall_now().unix_ms);
-    for (const auto& peer : hosts | std::views::take(feeders_asked)) {
+    for (const auto& peer : hosts | std::views::take(max_zone_hosts_asked)) {
         transport::http_request message;
         message.method = "POST";
         message.path = counts_path;
         message.headers.push_back({"Host", "peer"});
         message.body = encode_counts(*self, oldest_window(*self), newest);
         co_await loop::call(self->connections, peer.where, std::move(message),
-                            loop::after(usage_limit), usage_connect);
+                            loop::after(counts_timeout), counts_connect_timeout);
     }
 }
 
-void note_demand(host& self, const std::map<std::string, std::uint64_t, std::less<>>& in_work) {
+void note_demand(host& self, const std::map<std::string, std::uint64_t, std::less<>>& in_progress) {
     const auto now = self.clock.wall_now().unix_ms;
-    for (const auto& [model, items] : in_work) {
+    for (const auto& [model, items] : in_progress) {
         if (items > 0) {
-            add_peak(self.demand, counter_name(self), model, now, items);
+            record_peak(self.demand, counter_name(self), model, now, items);
         }
     }
 }
@@ -157,7 +158,7 @@
 std::uint64_t peak_demand(const host& self, std::string_view model) {
     const auto newest = window_at(self.demand, self.clock.wall_now().unix_ms);
     std::uint64_t out = 0;
-    for (auto window = newest - windows_judged + 1; window <= newest; ++window) {
+    for (auto window = newest - demand_windows + 1; window <= newest; ++window) {
         const auto sum = totals(self.demand, window);
         const auto found = sum.find(model);
         out = std::max(out, found == sum.end() ? 0 : found->second);
@@ -166,12 +167,12 @@
 }
 
 void start_gathering(const std::shared_ptr<host>& self) {
-    loop::asio::co_spawn(self->io, keep_gathering(self), loop::asio::detached);
+    loop::asio::co_spawn(self->io, gather_periodically(self), loop::asio::detached);
 }
 
 void forget_old_counts(host& self) {
-    forget_before(self.usage, oldest_window(self));
-    forget_before(self.demand, oldest_window(self));
+    drop_before(self.usage, oldest_window(self));
+    drop_before(self.demand, oldest_window(self));
 }
 
 } // namespace cornelloom::front
--- a/src/front/count_exchange.hpp
+++ b/src/front/count_exchange.hpp
@@ -10,37 +10,38 @@
 
 namespace cornelloom::front {
 
-/// How what each process has counted gets to the host that leads.
+/// Collects the counts of all processes at the host that holds the lease.
 
-/// The path under which a host tells what it knows of a window, and is told what others know.
+/// URL path under which a host returns its counts of a window and accepts those of others.
 inline constexpr std::string_view counts_path = "/counts";
 
-/// What this process has counted, of windows that may still be reported.
+/// Encodes this process's own counts of all windows that may still be reported.
 [[nodiscard]] std::string encode_own_counts(const host& self);
 
-/// Takes what another process tells; an empty text tells nothing.
-void take_counts(host& self, std::string_view text);
+/// Merges encoded counts received from another process; an empty text is ignored.
+void merge_counts(host& self, std::string_view text);
 
-/// Serves a peer that asks for a window, or tells all it has.
+/// Handles a request of a peer that asks for the counts of a window or sends its own.
 loop::task<void> serve_counts(std::shared_ptr<host> self, loop::served_request& request);
 
-/// Asks the hosts that may have fed each zone for a window. False if a zone has not answered.
+/// Requests the counts of a window from the feeders of each zone. False if a zone did not respond.
 loop::task<bool> gather_counts(std::shared_ptr<host> self, window_number window);
 
-/// This process ends: another host of its zone gets all that it knows.
+/// Sends all counts to other hosts of the zone before this process ends.
 loop::task<void> hand_counts_over(std::shared_ptr<host> self);
 
-/// Counts the items that this host has in work, by model.
-void note_demand(host& self, const std::map<std::string, std::uint64_t, std::less<>>& in_work);
+/// Records the number of items in progress on this host, by model.
+void note_demand(host& self, const std::map<std::string, std::uint64_t, std::less<>>& in_progress);
 
-/// Items of the model that were in work at once, at all hosts, within the last windows; as far as
-/// this host has been told.
+/// The peak number of items of the model in progress at the same time within the last few windows,
+/// summed over all hosts whose counts this host has received.
 [[nodiscard]] std::uint64_t peak_demand(const host& self, std::string_view model);
 
-/// Gathers the counts of the present window, again and again, while this process has the lease.
+/// Starts to gather the counts of the current window periodically while this process holds the
+/// lease.
 void start_gathering(const std::shared_ptr<host>& self);
 
-/// Drops windows that nobody reports any more.
+/// Drops the windows that can no longer be reported.
 void forget_old_counts(host& self);
 
 } // namespace cornelloom::front
--- a/src/front/feed.cpp
+++ b/src/front/feed.cpp
@@ -12,64 +12,70 @@
 
 using json = nlohmann::json;
 
-/// A host that was asked in vain watches the store itself for so long.
-constexpr milliseconds watch_when_asked = feeder_avoidance;
-/// Changes that a feeder remembers of each kind; who asks for older ones gets the list.
-constexpr std::size_t remembered_most = 256;
-/// Changes of one answer, unless a single step has more. What is left is asked for at once: a
-/// feeder that writes thousands of them to each host of its zone has no time for the others.
-constexpr std::size_t changes_most = 500;
-/// Answers that are kept encoded. Hosts follow the same steps, so most ask from the same revisions.
-constexpr std::size_t encoded_most = 16;
+/// How long a host watches the store after it got a request that it could not serve: as long as
+/// the host that asked avoids it.
+constexpr milliseconds watch_after_unserved_poll = feeder_avoidance_time;
+/// Steps of changes that a feeder keeps for each kind. A host that asks for older ones gets the
+/// names of all objects and the objects that changed.
+constexpr std::size_t max_history_steps = 256;
+/// Changes in one response, unless a single step has more. Hosts request the rest immediately.
+/// Larger responses would block the feeder: encoding thousands of changes for one host keeps all
+/// others waiting.
+constexpr std::size_t max_response_changes = 500;
+/// Encoded responses that are cached. Hosts receive the same steps, so most poll from the same
+/// revisions.
+constexpr std::size_t max_encoded_responses = 16;
 
-feed_answer list_of(const kept_kind& kept) {
-    feed_answer out;
-    out.at = kept.at;
-    for (const auto& [name, object] : kept.objects) {
+feed_response full_list(const kept_kind& cache) {
+    feed_response out;
+    out.at = cache.at;
+    for (const auto& [name, object] : cache.objects) {
         out.changes.push_back({object, false});
     }
     return out;
 }
 
-feed_answer changes_since(const kept_kind& kept, std::uint64_t at) {
-    feed_answer out;
-    for (const auto& step : kept.recent) {
-        if (step.at <= at) {
+feed_response history_since(const kept_kind& cache, std::uint64_t since) {
+    feed_response out;
+    for (const auto& step : cache.recent) {
+        if (step.at <= since) {
             continue;
         }
-        if (!out.changes.empty() && out.changes.size() + step.changes.size() > changes_most) {
+        if (!out.changes.empty() &&
+            out.changes.size() + step.changes.size() > max_response_changes) {
             return out;
         }
         out.changes.insert(out.changes.end(), step.changes.begin(), step.changes.end());
         out.at = step.at;
     }
-    out.at = kept.at;
+    out.at = cache.at;
     return out;
 }
 
-/// All that a host must learn which knows everything up to `at`, when the steps since are dropped:
-/// a feeder that has just begun has none. Most objects are as they were, so their names suffice.
-feed_answer catch_up_since(const kept_kind& kept, std::uint64_t at) {
-    feed_answer out;
-    out.at = kept.at;
+/// The updates after `since` when the history doesn't reach back that far, as on a new feeder. Most
+/// objects are unchanged, so only their names are sent.
+feed_response names_and_changes_since(const kept_kind& cache, std::uint64_t since) {
+    feed_response out;
+    out.at = cache.at;
     out.names.emplace();
-    for (const auto& [name, object] : kept.objects) {
+    for (const auto& [name, object] : cache.objects) {
         out.names->push_back(name);
-        if (object.revision > at) {
+        if (object.revision > since) {
             out.changes.push_back({object, false});
         }
     }
     return out;
 }
 
-/// A host that has just started knows only the seeds: it learns of the others from one of these.
+/// Chooses a seed host as feeder. A host that has just started knows only the seeds and learns of
+/// its other peers from one of them. Nothing if this host is a seed or all seeds are avoided.
 std::optional<host_entry> choose_seed(const host& self) {
     std::vector<host_entry> usable;
     for (const auto& seed : self.settings.seeds) {
         const auto name = to_string(seed);
         const auto avoided = self.avoided.find(name);
         if (seed == self.settings.peers) {
-            return std::nullopt; // this host is one
+            return std::nullopt; // this host is a seed
         }
         if (avoided == self.avoided.end() || avoided->second <= self.now()) {
             usable.push_back({name, {}, seed});
@@ -81,41 +87,42 @@
     return usable[self.salt % usable.size()];
 }
 
-/// When this host's news of the store are no longer fresh. An answer that a peer has passed on does
-/// not count: the watches may hang on the direct way meanwhile.
+/// When this host's data becomes stale without another direct response of the store. Responses
+/// relayed by a peer don't count: the watches on the direct path may hang at the same time.
 loop::deadline fresh_until(const host& self) {
-    return self.store.ways.last_direct + feed_touch;
+    return self.store.ways.last_direct_response + max_feed_staleness;
 }
 
-/// Whether this host may say anything of a kind now: it has fresh news of its own.
-bool may_answer(const host& self, const kept_kind& kept) {
-    return kept.at != 0 && kept.live && fresh_until(self) >= loop::steady_clock::now();
+/// Whether this host may serve a kind now: it watches the kind itself and its data is fresh.
+bool can_serve(const host& self, const kept_kind& cache) {
+    return cache.at != 0 && cache.live && fresh_until(self) >= loop::steady_clock::now();
 }
 
-/// Whether there is something to tell to a host that knows everything up to `at`.
-bool has_news(const kept_kind& kept, std::uint64_t at) {
-    const bool from_the_start = at == 0 || at < kept.oldest;
-    return from_the_start || std::ranges::any_of(kept.recent, [at](const kept_kind::step& step) {
-               return step.at > at;
-           });
+/// Whether there are updates for a host that is current up to revision `since`.
+bool has_updates(const kept_kind& cache, std::uint64_t since) {
+    const bool history_too_short = since == 0 || since < cache.oldest;
+    return history_too_short ||
+           std::ranges::any_of(cache.recent,
+                               [since](const kept_kind::step& step) { return step.at > since; });
 }
 
-std::string encoded_news(const host& self, object_kind kind, kept_kind& kept, std::uint64_t at) {
+std::string encode_updates(const host& self, object_kind kind, kept_kind& cache,
+                           std::uint64_t since) {
     if (kind != object_kind::configuration) {
-        return encode_news_once(kept, at);
+        return encode_updates_once(cache, since);
     }
-    auto news = news_since(kept, at);
+    auto updates = updates_since(cache, since);
     if (self.configuration_as_of != time_point{}) {
-        news.age = configuration_age(self);
+        updates.age = configuration_age(self);
     }
-    return encode_feed(news);
+    return encode_feed_response(updates);
 }
 
 } // namespace
 
 std::optional<host_entry> choose_feeder(host& self, object_kind kind) {
-    const auto& kept = self.kept[kind];
-    if (kept.asked != time_point{} && self.now() - kept.asked < watch_when_asked) {
+    const auto& cache = self.kept[kind];
+    if (cache.asked != time_point{} && self.now() - cache.asked < watch_after_unserved_poll) {
         return std::nullopt;
     }
     if (self.peers.empty()) {
@@ -129,114 +136,116 @@
                                [](const auto& each) { return each.second.live; });
 }
 
-void keep_list(host& self, object_kind kind, const std::vector<stored_object>& all,
-               std::uint64_t at) {
-    auto& kept = self.kept[kind];
-    kept.objects.clear();
+void cache_list(host& self, object_kind kind, const std::vector<stored_object>& all,
+                std::uint64_t as_of) {
+    auto& cache = self.kept[kind];
+    cache.objects.clear();
     for (const auto& object : all) {
-        kept.objects.emplace(object.name, object);
+        cache.objects.emplace(object.name, object);
     }
-    // Who asks for changes since before this list may have missed a removal.
-    kept.recent.clear();
-    kept.oldest = at;
-    kept.at = at;
-    kept.changed.open();
+    // A host at a revision before this list may have missed a deletion.
+    cache.recent.clear();
+    cache.oldest = as_of;
+    cache.at = as_of;
+    cache.changed.open();
 }
 
-void keep_changes(host& self, object_kind kind, const std::vector<object_change>& changes,
-                  std::uint64_t at) {
-    auto& kept = self.kept[kind];
-    kept.at = std::max(kept.at, at);
-    kept.changed.open();
+void cache_changes(host& self, object_kind kind, const std::vector<object_change>& changes,
+                   std::uint64_t as_of) {
+    auto& cache = self.kept[kind];
+    cache.at = std::max(cache.at, as_of);
+    cache.changed.open();
     if (changes.empty()) {
         return;
     }
     for (const auto& change : changes) {
         if (change.deleted) {
-            kept.objects.erase(change.object.name);
+            cache.objects.erase(change.object.name);
         } else {
-            kept.objects.insert_or_assign(change.object.name, change.object);
+            cache.objects.insert_or_assign(change.object.name, change.object);
         }
     }
-    kept.recent.push_back({kept.at, changes});
-    if (kept.recent.size() > remembered_most) {
-        kept.oldest = kept.recent.front().at;
-        kept.recent.pop_front();
+    cache.recent.push_back({cache.at, changes});
+    if (cache.recent.size() > max_history_steps) {
+        cache.oldest = cache.recent.front().at;
+        cache.recent.pop_front();
     }
 }
 
-feed_answer news_since(const kept_kind& kept, std::uint64_t at) {
-    if (at == 0) {
-        return list_of(kept);
+feed_response updates_since(const kept_kind& cache, std::uint64_t since) {
+    if (since == 0) {
+        return full_list(cache);
     }
-    return at < kept.oldest ? catch_up_since(kept, at) : changes_since(kept, at);
+    return since < cache.oldest ? names_and_changes_since(cache, since)
+                                : history_since(cache, since);
 }
 
-const std::string& encode_news_once(kept_kind& kept, std::uint64_t at) {
-    if (kept.encoded_at != kept.at) {
-        kept.encoded.clear();
-        kept.encoded_at = kept.at;
+const std::string& encode_updates_once(kept_kind& cache, std::uint64_t since) {
+    if (cache.encoded_at != cache.at) {
+        cache.encoded.clear();
+        cache.encoded_at = cache.at;
     }
-    const auto known = kept.encoded.find(at);
-    if (known != kept.encoded.end()) {
-        return known->second;
+    const auto cached = cache.encoded.find(since);
+    if (cached != cache.encoded.end()) {
+        return cached->second;
     }
-    if (kept.encoded.size() >= encoded_most) {
-        kept.encoded.clear();
+    if (cache.encoded.size() >= max_encoded_responses) {
+        cache.encoded.clear();
     }
-    return kept.encoded.emplace(at, encode_feed(news_since(kept, at))).first->second;
+    return cache.encoded.emplace(since, encode_feed_response(updates_since(cache, since)))
+        .first->second;
 }
 
-std::vector<object_change> removals(const std::set<std::string, std::less<>>& known,
-                                    const std::vector<std::string>& names) {
-    const std::set<std::string_view> there(names.begin(), names.end());
+std::vector<object_change> find_deletions(const std::set<std::string, std::less<>>& known,
+                                          const std::vector<std::string>& names) {
+    const std::set<std::string_view> existing(names.begin(), names.end());
     std::vector<object_change> out;
     for (const auto& name : known) {
-        if (!there.contains(name)) {
-            object_change gone;
-            gone.object.name = name;
-            gone.deleted = true;
-            out.push_back(std::move(gone));
+        if (!existing.contains(name)) {
+            object_change deletion;
+            deletion.object.name = name;
+            deletion.deleted = true;
+            out.push_back(std::move(deletion));
         }
     }
     return out;
 }
 
-transport::http_request feed_question(object_kind kind, std::uint64_t at) {
+transport::http_request make_feed_request(object_kind kind, std::uint64_t since) {
     transport::http_request out;
     out.path = feed_path;
-    out.query = "kind=" + std::to_string(static_cast<int>(kind)) + "&at=" + std::to_string(at);
+    out.query = "kind=" + std::to_string(static_cast<int>(kind)) + "&at=" + std::to_string(since);
     out.headers.push_back({"Host", "peer"});
     return out;
 }
 
-void tell_counts(const host& self, transport::http_request& question) {
-    question.method = "POST";
-    question.body = encode_own_counts(self);
+void attach_counts(const host& self, transport::http_request& poll_request) {
+    poll_request.method = "POST";
+    poll_request.body = encode_own_counts(self);
 }
 
-std::string encode_feed(const feed_answer& answer) {
+std::string encode_feed_response(const feed_response& response) {
     json changes = json::array();
-    for (const auto& change : answer.changes) {
+    for (const auto& change : response.changes) {
         changes.push_back({{"name", change.object.name},
                            {"revision", change.object.revision},
                            {"specification", change.object.specification},
                            {"deleted", change.deleted}});
     }
-    json out = {{"at", answer.at}, {"changes", std::move(changes)}};
-    if (answer.names) {
-        out["names"] = *answer.names;
+    json out = {{"at", response.at}, {"changes", std::move(changes)}};
+    if (response.names) {
+        out["names"] = *response.names;
     }
-    if (answer.age) {
-        out["age_ms"] = answer.age->count();
+    if (response.age) {
+        out["age_ms"] = response.age->count();
     }
     return out.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-kernel::result<feed_answer> decode_feed(std::string_view body) {
+kernel::result<feed_response> decode_feed_response(std::string_view body) {
     try {
         auto value = json::parse(body);
-        feed_answer out;
+        feed_response out;
         out.at = value.at("at").get<std::uint64_t>();
         for (auto& each : value.at("changes")) {
             object_change change;
@@ -259,35 +268,36 @@
 }
 
 loop::task<void> serve_feed(std::shared_ptr<host> self, loop::served_request& request) {
-    const auto number = [&request](std::string_view name) {
+    const auto parse_number = [&request](std::string_view name) {
         const auto text = transport::find_query(request.message.query, name).value_or("");
         return kernel::parse_integer<std::uint64_t>(text).value_or(0);
     };
-    const auto kind = number("kind");
+    const auto kind = parse_number("kind");
     if (kind > static_cast<std::uint64_t>(object_kind::order_lease)) {
         co_await request.answer({404, {}, {}});
         co_return;
     }
-    take_counts(*self, request.message.body);
-    auto& kept = self->kept[static_cast<object_kind>(kind)];
-    const auto at = number("at");
-    const auto until = loop::after(feed_wait);
-    while (may_answer(*self, kept) && !has_news(kept, at) && loop::steady_clock::now() < until) {
-        co_await kept.changed.wait(std::min(until, fresh_until(*self)));
+    merge_counts(*self, request.message.body);
+    auto& cache = self->kept[static_cast<object_kind>(kind)];
+    const auto since = parse_number("at");
+    const auto hold_deadline = loop::after(feed_poll_wait);
+    while (can_serve(*self, cache) && !has_updates(cache, since) &&
+           loop::steady_clock::now() < hold_deadline) {
+        co_await cache.changed.wait(std::min(hold_deadline, fresh_until(*self)));
     }
-    // Hosts that start together, or lose their feeder together, ask the next one before it has its
-    // first list: a refusal would send them all on to one after another.
-    while (!may_answer(*self, kept) && (!kept.live || kept.at == 0) &&
-           loop::steady_clock::now() < until) {
-        kept.asked = self->now();
-        co_await kept.changed.wait(until);
+    // When many hosts start, or lose their feeder, at the same time, they all poll this one before
+    // it has its first list. Refusing them would send them all to one host after another.
+    while (!can_serve(*self, cache) && (!cache.live || cache.at == 0) &&
+           loop::steady_clock::now() < hold_deadline) {
+        cache.asked = self->now();
+        co_await cache.changed.wait(hold_deadline);
     }
-    transport::http_response answer{status_out_of_touch, {}, {}};
-    if (may_answer(*self, kept)) {
-        answer.status = 200;
-        answer.body = encoded_news(*self, static_cast<object_kind>(kind), kept, at);
+    transport::http_response response{status_stale, {}, {}};
+    if (can_serve(*self, cache)) {
+        response.status = 200;
+        response.body = encode_updates(*self, static_cast<object_kind>(kind), cache, since);
     }
-    co_await request.answer(std::move(answer));
+    co_await request.answer(std::move(response));
 }
 
 } // namespace cornelloom::front
--- a/src/front/feed.hpp
+++ b/src/front/feed.hpp
@@ -11,78 +11,82 @@
 
 namespace cornelloom::front {
 
-/// Passing on what the platform's store says to the other hosts of a zone.
+/// Distributes updates from the platform's store to the hosts of a zone.
 ///
-/// Load it is made for: sixty hosts and more that each want to know of every change. The store
-/// charges each call, a waiting one as well, so watches of all hosts would be the largest cost of a
-/// day. One host of a zone, the one with the most processor time, watches the store; the others ask
-/// it, over connections inside their zone. Nothing depends on it: when it does not answer, or has
-/// lost touch with the store, the next one in line watches as soon as it is asked, and the others
-/// turn to that.
-
-/// A feeder without a sign of the store for longer than this passes nothing on: twice the usual
-/// pause between two of its calls, and far below the shortest bound on being up to date, 2.5 s.
-inline constexpr milliseconds feed_touch{1700};
-
-/// A whole list of some thousand targets to some tens of hosts takes its feeder this long. Hosts
-/// that gave up midway would all ask for it once more.
-inline constexpr milliseconds list_time{4000};
-
-/// A fed host's question waits for so long; a suspended feeder shows after that and the allowance.
-inline constexpr milliseconds feed_wait{900};
-
-/// The feeder to ask now; nothing if this host watches the store itself.
+/// With sixty or more hosts, a store watch per host would be the largest cost of a day, because the
+/// store charges for every call, long polls included. So one host of each zone, the feeder, watches
+/// the store, and the others poll it over connections inside the zone. The host with the most CPU
+/// time is the feeder. It is no single point of failure: when it does not respond, or has lost its
+/// connection to the store, the next host in the order starts to watch on the first request, and
+/// the others switch to it.
+
+/// A feeder that has had no response from the store for longer than this serves no updates. Twice
+/// the usual time between two of its calls, and well below the shortest freshness bound, 2.5 s.
+inline constexpr milliseconds max_feed_staleness{1700};
+
+/// Timeout of a request for the full list. A feeder needs up to this long to send a thousand or
+/// more targets to dozens of hosts, and hosts that time out midway would all request it again.
+inline constexpr milliseconds feed_list_timeout{4000};
+
+/// How long a feeder holds a poll that has no updates yet. A suspended feeder is detected after
+/// this time and the timeout margin of the poll.
+inline constexpr milliseconds feed_poll_wait{900};
+
+/// The feeder to poll now; `nullopt` if this host has to watch the store itself.
 [[nodiscard]] std::optional<host_entry> choose_feeder(host& self, object_kind kind);
 
-/// Whether this host watches the store itself, for any kind.
+/// Whether this host watches the store itself for at least one kind of objects.
 [[nodiscard]] bool watches_store(const host& self);
 
-/// What a feeder knows of one kind, after a list.
-void keep_list(host& self, object_kind kind, const std::vector<stored_object>& all,
-               std::uint64_t at);
-/// The same after changes.
-void keep_changes(host& self, object_kind kind, const std::vector<object_change>& changes,
-                  std::uint64_t at);
+/// Replaces the cached objects of one kind by a full list, read at revision `as_of`.
+void cache_list(host& self, object_kind kind, const std::vector<stored_object>& all,
+                std::uint64_t as_of);
+/// Applies changes up to revision `as_of` to the cached objects of one kind.
+void cache_changes(host& self, object_kind kind, const std::vector<object_change>& changes,
+                   std::uint64_t as_of);
 
-/// What a feeder answers beside 200 when it has no fresh news.
-inline constexpr int status_out_of_touch = 503;
+/// Response status of a feeder whose own data may be stale.
+inline constexpr int status_stale = 503;
 
-/// The path of the question.
+/// URL path of feed requests.
 inline constexpr std::string_view feed_path = "/feed";
 
-/// A question for changes since `at`, 0 for everything.
-[[nodiscard]] transport::http_request feed_question(object_kind kind, std::uint64_t at);
+/// Builds a request for the changes after revision `since`; 0 requests the full list.
+[[nodiscard]] transport::http_request make_feed_request(object_kind kind, std::uint64_t since);
 
-/// Adds what this process has counted of requests. Feeders keep the counts of their zone, so that
-/// those of a process which is killed are not lost, and none needs a call of its own.
-void tell_counts(const host& self, transport::http_request& question);
+/// Attaches this process's request counts. Feeders hold the counts of their zone, so the counts of
+/// a killed process are not lost and need no separate call.
+void attach_counts(const host& self, transport::http_request& poll_request);
 
-/// What a feeder answered: a whole list if it was asked for one, else changes.
-struct feed_answer {
-    std::uint64_t at = 0;
+/// Response of a feeder: the full list if that was requested, otherwise changes.
+struct feed_response {
+    std::uint64_t at = 0; ///< Store revision up to which the response is complete.
     std::vector<object_change> changes;
-    /// All names that there are; what is not among them is gone. Nothing: `changes` tells of that.
+    /// Names of all existing objects; any other object is deleted. If absent, `changes` contains
+    /// the deletions.
     std::optional<std::vector<std::string>> names{};
-    /// The store said all this so long ago at most; nothing: the feeder can't tell.
+    /// Upper bound on the age of the data; absent if the feeder does not know it.
     std::optional<milliseconds> age{};
 };
 
-/// What a feeder tells a host that knows everything up to `at`: not all of it if it is much. The
-/// host asks for the rest from `at` of the answer on.
-[[nodiscard]] feed_answer news_since(const kept_kind& kept, std::uint64_t at);
+/// The updates for a host that is current up to revision `since`. A large update is split: the host
+/// requests the rest from the `at` of the response.
+[[nodiscard]] feed_response updates_since(const kept_kind& cache, std::uint64_t since);
 
-/// The same encoded, made once for all hosts that know as much: they start together, or lose their
-/// feeder together. Valid until `kept` changes or news for others are encoded.
-[[nodiscard]] const std::string& encode_news_once(kept_kind& kept, std::uint64_t at);
+/// Returns the encoded updates after `since`, encoded once for all hosts at that revision: many
+/// hosts start, or lose their feeder, at the same time. The reference is valid until the cache
+/// changes or updates for another revision are encoded.
+[[nodiscard]] const std::string& encode_updates_once(kept_kind& cache, std::uint64_t since);
 
-/// Changes that remove what is known and is not among the names.
-[[nodiscard]] std::vector<object_change> removals(const std::set<std::string, std::less<>>& known,
-                                                  const std::vector<std::string>& names);
+/// Deletions for all known objects that are not among `names`.
+[[nodiscard]] std::vector<object_change>
+find_deletions(const std::set<std::string, std::less<>>& known,
+               const std::vector<std::string>& names);
 
-[[nodiscard]] std::string encode_feed(const feed_answer& answer);
-[[nodiscard]] kernel::result<feed_answer> decode_feed(std::string_view body);
+[[nodiscard]] std::string encode_feed_response(const feed_response& response);
+[[nodiscard]] kernel::result<feed_response> decode_feed_response(std::string_view body);
 
-/// Answers a fed host.
+/// Handles a feed request; holds it for up to `feed_poll_wait` while there are no updates.
 loop::task<void> serve_feed(std::shared_ptr<host> self, loop::served_request& request);
 
 } // namespace cornelloom::front
--- a/src/front/feeder_choice.cpp
+++ b/src/front/feeder_choice.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-bool goes_before(const host_entry& a, const host_entry& b) {
+bool ranks_before(const host_entry& a, const host_entry& b) {
     return a.processor != b.processor ? a.processor > b.processor : a.name < b.name;
 }
 
@@ -21,7 +21,7 @@
                                         const avoided_feeders& avoided, time_point now) {
     const host_entry* first = nullptr;
     for (const auto& [name, peer] : peers) {
-        if (peer.zone == own.zone && goes_before(peer, first == nullptr ? own : *first) &&
+        if (peer.zone == own.zone && ranks_before(peer, first == nullptr ? own : *first) &&
             !is_avoided(avoided, name, now)) {
             first = &peer;
         }
@@ -29,19 +29,19 @@
     return first == nullptr ? std::nullopt : std::optional(*first);
 }
 
-std::vector<host_entry> order_of_zone(std::string_view zone, const host_entries& peers) {
+std::vector<host_entry> ranked_zone_hosts(std::string_view zone, const host_entries& peers) {
     std::vector<host_entry> out;
     for (const auto& [name, peer] : peers) {
         if (peer.zone == zone) {
             out.push_back(peer);
         }
     }
-    std::ranges::sort(out, goes_before);
+    std::ranges::sort(out, ranks_before);
     return out;
 }
 
 void avoid_feeder(avoided_feeders& avoided, std::string_view name, time_point now) {
-    avoided.insert_or_assign(std::string(name), now + feeder_avoidance);
+    avoided.insert_or_assign(std::string(name), now + feeder_avoidance_time);
 }
 
 } // namespace cornelloom::front
--- a/src/front/feeder_choice.hpp
+++ b/src/front/feeder_choice.hpp
@@ -11,37 +11,37 @@
 
 namespace cornelloom::front {
 
-/// Which host of a zone reads the store's news for the others.
+/// Selection of the feeder: the host of a zone that watches the store for the others.
 ///
-/// Load it is made for: some hundred hosts, of which a third is turned away by the store for ten
-/// seconds, or half is killed at once. The hosts of a zone agree on an order, the one with the most
-/// processor time first, and each asks the first one that it does not avoid. A feeder that is
-/// silent, or has no fresh news, is avoided for a while. One that has none holds the question
-/// before it says so; so while the store is away for all, a zone turns to the next host once a
-/// second and is back at the first one after the avoidance: a handful of hosts try the store, not
-/// all of them.
+/// Designed for about a hundred hosts, of which the store rejects a third for ten seconds, or half
+/// are killed at once. All hosts of a zone use the same order, most CPU time first, and each polls
+/// the first host that it does not avoid. A feeder that does not respond or has no fresh data is
+/// avoided for some time. A feeder without fresh data holds the request before it refuses it, so
+/// while the store is down for all, a zone moves on to the next host about once a second and is
+/// back at the first one when that is no longer avoided. Only a handful of hosts then call the
+/// store, not all of them.
 
 using kernel::time_point;
 
 using host_entries = std::map<std::string, host_entry, std::less<>>;
-/// Feeders that did not serve a question, and until when they are not asked.
+/// Feeders that failed to serve a request, by name, and when each may be polled again.
 using avoided_feeders = std::map<std::string, time_point, std::less<>>;
 
-/// How long a feeder is avoided.
-inline constexpr milliseconds feeder_avoidance{4000};
+/// How long a feeder is avoided after it failed to serve a request.
+inline constexpr milliseconds feeder_avoidance_time{4000};
 
-/// The first host of the zone, in the order that all agree on, that is not avoided; nothing if that
-/// is this host itself.
+/// The first host of the zone, in the common order, that is not avoided; `nullopt` if that is this
+/// host itself.
 [[nodiscard]] std::optional<host_entry> first_of_zone(const host_entry& own,
                                                       const host_entries& peers,
                                                       const avoided_feeders& avoided,
                                                       time_point now);
 
-/// The hosts of a zone in that order.
-[[nodiscard]] std::vector<host_entry> order_of_zone(std::string_view zone,
-                                                    const host_entries& peers);
+/// The hosts of a zone in the common order.
+[[nodiscard]] std::vector<host_entry> ranked_zone_hosts(std::string_view zone,
+                                                        const host_entries& peers);
 
-/// Takes note of a feeder that did not serve a question.
+/// Avoids a feeder for some time because it failed to serve a request.
 void avoid_feeder(avoided_feeders& avoided, std::string_view name, time_point now);
 
 } // namespace cornelloom::front
--- a/src/front/follower.cpp
+++ b/src/front/follower.cpp
@@ -11,15 +11,17 @@
 
 namespace {
 
-/// Changes of the list of targets come in bursts, one for each load of weights; waiting a little
-/// makes one call carry several. As a part of the time after which a leaving target gets no work.
-constexpr int targets_pauses_in_drain = 5;
-/// The host that gives orders learns by them that a load is over and the next one may start.
-constexpr loop::milliseconds orders_pause{400};
-/// Hosts start together; after this pause each knows most of the others of its zone.
-constexpr loop::milliseconds settle_pause{400};
+/// Target changes come in bursts, one for each load of weights. A delay before the next call lets
+/// it carry several of them. The delay is the drain bound, after which a leaving target must get no
+/// more work, divided by this.
+constexpr int target_delays_per_drain = 5;
+/// Upper bound of that delay on the host that gives orders to targets: target changes tell it that
+/// a load of weights has ended and the next one may start.
+constexpr loop::milliseconds max_order_giver_delay{400};
+/// Delay at start. Hosts start at the same time; after this, each knows most peers of its zone.
+constexpr loop::milliseconds startup_delay{400};
 
-void take_configuration(host& self, const stored_object& object) {
+void apply_configuration(host& self, const stored_object& object) {
     auto read = self.wire.configuration_of(object.specification);
     if (!read) {
         self.configuration_sound = false;
@@ -29,7 +31,7 @@
     }
     self.configuration_sound = true;
     const auto known = self.routes ? self.routes->source.version : 0;
-    // Never an older version than one that was in force in this process.
+    // Never apply an older version than one that was in force in this process.
     if (read.value().version <= known) {
         return;
     }
@@ -44,7 +46,7 @@
           {"routes", static_cast<std::uint64_t>(self.routes->source.routes.size())}});
 }
 
-std::optional<target_entry> read_target(host& self, const stored_object& object) {
+std::optional<target_entry> decode_target(host& self, const stored_object& object) {
     auto read = self.wire.target(object);
     if (!read) {
         note(self, object_unreadable,
@@ -54,9 +56,9 @@
     return read.value();
 }
 
-/// One target in full. The hosts that watch the store write these lines; the others, which learn
-/// the same from them, write how much has changed.
-void note_target(host& self, const target_entry& entry) {
+/// Logs one target in full, on hosts that watch the store. The other hosts get the same data from
+/// them and log only the number of changes.
+void report_target(host& self, const target_entry& entry) {
     if (!watches_store(self)) {
         return;
     }
@@ -73,22 +75,23 @@
           {"revision", entry.revision}});
 }
 
-void note_news(host& self, std::span<const object_change> changes, std::size_t before) {
-    const auto gone = std::ranges::count_if(changes, &object_change::deleted);
+void report_target_changes(host& self, std::span<const object_change> changes,
+                           std::size_t previous_count) {
+    const auto deleted_count = std::ranges::count_if(changes, &object_change::deleted);
     const auto newest = std::ranges::max_element(
         changes, {}, [](const object_change& change) { return change.object.revision; });
     note(self, targets_changed,
          {{"changed", static_cast<std::uint64_t>(changes.size())},
-          {"gone", static_cast<std::uint64_t>(gone)},
+          {"gone", static_cast<std::uint64_t>(deleted_count)},
           {"targets", static_cast<std::uint64_t>(self.targets.by_id.size())},
-          {"before", static_cast<std::uint64_t>(before)},
+          {"before", static_cast<std::uint64_t>(previous_count)},
           {"revision", newest->object.revision}});
 }
 
-void list_targets(host& self, std::span<const stored_object> all) {
+void apply_target_list(host& self, std::span<const stored_object> all) {
     std::vector<target_entry> entries;
     for (const auto& object : all) {
-        if (auto entry = read_target(self, object)) {
+        if (auto entry = decode_target(self, object)) {
             entries.push_back(std::move(*entry));
         }
     }
@@ -97,31 +100,31 @@
     self.learned.open();
 }
 
-void change_targets(host& self, std::span<const object_change> changes) {
-    const auto gone = std::ranges::count_if(changes, &object_change::deleted);
-    const auto since_trouble = std::chrono::duration_cast<milliseconds>(
-        loop::steady_clock::now() - self.store.ways.last_trouble);
-    if (have_lapsed(static_cast<std::size_t>(gone), since_trouble, self.settings.calm)) {
+void apply_target_changes(host& self, std::span<const object_change> changes) {
+    const auto deleted_count = std::ranges::count_if(changes, &object_change::deleted);
+    const auto since_failure = std::chrono::duration_cast<milliseconds>(
+        loop::steady_clock::now() - self.store.ways.last_direct_failure);
+    if (have_lapsed(static_cast<std::size_t>(deleted_count), since_failure, self.settings.calm)) {
         note_return(self.targets, self.now());
     }
-    const auto before = self.targets.by_id.size();
+    const auto previous_count = self.targets.by_id.size();
     for (const auto& change : changes) {
         if (change.deleted) {
             note(self, target_gone, {{"target", change.object.name}});
             remove_target(self.targets, change.object.name, self.now());
             continue;
         }
-        if (auto entry = read_target(self, change.object)) {
-            note_target(self, *entry);
+        if (auto entry = decode_target(self, change.object)) {
+            report_target(self, *entry);
             put_target(self.targets, std::move(*entry), self.now());
         } else {
             remove_target(self.targets, change.object.name, self.now());
         }
     }
-    note_news(self, changes, before);
+    report_target_changes(self, changes, previous_count);
 }
 
-void take_version(host& self, const stored_object& object) {
+void apply_version(host& self, const stored_object& object) {
     auto read = self.wire.version(object.specification);
     if (!read) {
         note(self, object_unreadable, {{"kind", "versions"}, {"problem", read.error().detail}});
@@ -135,7 +138,7 @@
     }
 }
 
-void take_peer(host& self, const stored_object& object) {
+void apply_peer(host& self, const stored_object& object) {
     if (object.name == self.settings.host) {
         return;
     }
@@ -147,113 +150,116 @@
     }
 }
 
-/// Kinds whose objects are taken one by one and never forgotten.
-followed take_each(const std::shared_ptr<host>& self, object_kind kind,
-                   loop::milliseconds (*pause)(), void (*take)(host&, const stored_object&)) {
-    return {kind, pause,
-            [self, take](std::span<const stored_object> all) {
+/// Watches a kind whose objects are applied one by one and are kept when they are deleted.
+followed apply_each(const std::shared_ptr<host>& self, object_kind kind,
+                    loop::milliseconds (*delay)(), void (*apply)(host&, const stored_object&)) {
+    return {kind, delay,
+            [self, apply](std::span<const stored_object> all) {
                 std::ranges::for_each(all,
-                                      [&](const stored_object& object) { take(*self, object); });
+                                      [&](const stored_object& object) { apply(*self, object); });
             },
-            [self, take](std::span<const object_change> changes) {
+            [self, apply](std::span<const object_change> changes) {
                 for (const auto& change : changes) {
                     if (!change.deleted) {
-                        take(*self, change.object);
+                        apply(*self, change.object);
                     }
                 }
             }};
 }
 
-/// Whether the object that stands in the way of a create says the same already: this host was
-/// stopped or killed, and its process started again.
-bool says_the_same(const host& self, std::string_view body, std::string_view record) {
+/// Whether the existing object that made a create fail already holds `record`. It does when this
+/// host's process was stopped or killed and has started again.
+bool already_stored(const host& self, std::string_view body, std::string_view record) {
     const auto object = self.wire.object(body);
     return object && object.value().specification == nlohmann::json::parse(record, nullptr, false);
 }
 
-loop::task<void> keep_announcing(std::shared_ptr<host> self) {
+loop::task<void> announce_host(std::shared_ptr<host> self) {
     const auto own = own_entry(*self);
     const auto record = encode_host(own);
     const auto kind = object_kind::hosts;
     for (;;) {
-        auto made = co_await call_store(self->store, self->wire.create(kind, own.name, record));
-        if (made.fault == store_fault::conflict) {
-            if (says_the_same(*self, made.body, record)) {
+        auto response = co_await call_store(self->store, self->wire.create(kind, own.name, record));
+        if (response.fault == store_fault::conflict) {
+            if (already_stored(*self, response.body, record)) {
                 co_return;
             }
-            made = co_await call_store(self->store, self->wire.replace(kind, own.name, record, 0));
+            response =
+                co_await call_store(self->store, self->wire.replace(kind, own.name, record, 0));
         }
-        if (made.fault == store_fault::none) {
+        if (response.fault == store_fault::none) {
             co_return;
         }
         co_await loop::pause_for(self->io, store_pause(*self, store_pause_most));
     }
 }
 
-followed follow_targets(const std::shared_ptr<host>& self) {
-    const auto usual = self->settings.drain / targets_pauses_in_drain;
-    const auto pause = [self, usual] {
-        return self->wants_versions ? std::min(usual, orders_pause) : usual;
+followed watch_targets(const std::shared_ptr<host>& self) {
+    const auto usual_delay = self->settings.drain / target_delays_per_drain;
+    const auto delay = [self, usual_delay] {
+        return self->wants_versions ? std::min(usual_delay, max_order_giver_delay) : usual_delay;
     };
-    return {object_kind::targets, pause,
-            [self](std::span<const stored_object> all) { list_targets(*self, all); },
-            [self](std::span<const object_change> changes) { change_targets(*self, changes); }};
+    return {
+        object_kind::targets, delay,
+        [self](std::span<const stored_object> all) { apply_target_list(*self, all); },
+        [self](std::span<const object_change> changes) { apply_target_changes(*self, changes); }};
 }
 
-/// Until the list of targets is followed, requests go by one that may be seconds old: the host has
-/// just started, and no news that it missed binds it yet.
-followed look_at_targets(const std::shared_ptr<host>& self) {
+/// A single list of targets, which may be seconds old, for requests that come before the watch has
+/// listed them. That is safe: the host has just started, so no freshness bound applies yet to
+/// changes that it missed.
+followed list_targets_once(const std::shared_ptr<host>& self) {
     return {object_kind::targets,
             {},
             [self](std::span<const stored_object> all) {
                 if (!self->targets_listed) {
-                    list_targets(*self, all);
+                    apply_target_list(*self, all);
                 }
             },
             [](std::span<const object_change>) {}};
 }
 
-/// Only the host that gives orders needs the newest versions, and one that may have to take over.
-followed follow_versions(const std::shared_ptr<host>& self) {
-    auto out = take_each(self, object_kind::versions, no_pause, take_version);
+/// Only the host that gives orders to targets, and one that may have to take over, needs versions.
+followed watch_versions(const std::shared_ptr<host>& self) {
+    auto out = apply_each(self, object_kind::versions, no_pause, apply_version);
     out.wanted = [self] { return self->wants_versions; };
     return out;
 }
 
-/// Hosts start together, and no bound depends on how soon a peer is known.
-loop::milliseconds pause_of_hosts() {
+/// Long, since no bound depends on how soon a peer is known, and hosts start at the same time.
+loop::milliseconds hosts_delay() {
     return loop::milliseconds{1500};
 }
 
-/// Announces this host, learns of the others, and then follows all kinds.
-loop::task<void> start_following(std::shared_ptr<host> self) {
-    loop::asio::co_spawn(self->io, keep_announcing(self), loop::asio::detached);
+/// Announces this host, lists what it needs to serve requests, and then watches all kinds.
+loop::task<void> start_watches(std::shared_ptr<host> self) {
+    loop::asio::co_spawn(self->io, announce_host(self), loop::asio::detached);
     const auto configuration =
-        take_each(self, object_kind::configuration, no_pause, take_configuration);
-    loop::asio::co_spawn(self->io, look_once(self, look_at_targets(self), true),
+        apply_each(self, object_kind::configuration, no_pause, apply_configuration);
+    loop::asio::co_spawn(self->io, list_once(self, list_targets_once(self), true),
                          loop::asio::detached);
-    // Keys that may have been taken away can't be checked against a copy of unknown age.
+    // With strict revocation, keys must not be checked against data of unknown age.
     const bool may_be_stale = !self->settings.revocation;
-    co_await look_once(self, configuration, may_be_stale);
-    const bool informed = self->routes != nullptr;
-    if (!informed) {
-        start_watch(self, configuration); // a host that runs already may know it
+    co_await list_once(self, configuration, may_be_stale);
+    const bool has_configuration = self->routes != nullptr;
+    if (!has_configuration) {
+        start_watch(self, configuration); // a running peer may have the configuration
     }
-    co_await loop::pause_for(self->io, settle_pause);
-    start_watch(self, take_each(self, object_kind::hosts, pause_of_hosts, take_peer));
-    co_await loop::pause_for(self->io, settle_pause / 4);
-    if (informed) {
+    co_await loop::pause_for(self->io, startup_delay);
+    start_watch(self, apply_each(self, object_kind::hosts, hosts_delay, apply_peer));
+    co_await loop::pause_for(self->io, startup_delay / 4);
+    if (has_configuration) {
         start_watch(self, configuration);
     }
-    start_watch(self, follow_versions(self));
-    start_watch(self, follow_targets(self));
+    start_watch(self, watch_versions(self));
+    start_watch(self, watch_targets(self));
     start_watch(self, follow_retirements(self));
 }
 
 } // namespace
 
 void follow_platform(const std::shared_ptr<host>& self) {
-    loop::asio::co_spawn(self->io, start_following(self), loop::asio::detached);
+    loop::asio::co_spawn(self->io, start_watches(self), loop::asio::detached);
 }
 
 } // namespace cornelloom::front
--- a/src/front/store_client.cpp
+++ b/src/front/store_client.cpp
@@ -4,15 +4,15 @@
 
 namespace {
 
-/// The store is one round trip between regions away at most.
-constexpr loop::milliseconds connect_limit{400};
-/// A peer needs a round trip of its own and the processor's time.
-constexpr loop::milliseconds peer_allowance{300};
-/// Peers that are asked for one call: more would multiply the load of an outage.
-constexpr std::size_t peers_asked = 2;
+/// The store is at most one round trip between regions away.
+constexpr loop::milliseconds connect_timeout{400};
+/// Extra time for a relayed call: a round trip to the peer and its processing time.
+constexpr loop::milliseconds relay_timeout_margin{300};
+/// Peers that are tried for one call; more would multiply the load during an outage.
+constexpr std::size_t max_peers_tried = 2;
 
-constexpr int status_nothing_done = 503;
-constexpr int status_unknown = 504;
+constexpr int status_not_executed = 503;
+constexpr int status_outcome_unknown = 504;
 
 store_fault fault_of_status(int status) {
     switch (status) {
@@ -28,71 +28,74 @@
     case 410:
         return store_fault::history_gone;
     case 429:
-    case status_nothing_done:
+    case status_not_executed:
         return store_fault::refused;
     default:
         return status >= 500 ? store_fault::unknown : store_fault::invalid;
     }
 }
 
-store_answer judge(loop::call_outcome outcome) {
+store_response to_store_response(loop::call_outcome outcome) {
     if (outcome.fault == loop::exchange_fault::none) {
         return {fault_of_status(outcome.answer.status), std::move(outcome.answer.body)};
     }
     return {outcome.sent ? store_fault::unknown : store_fault::refused};
 }
 
-/// Whether the store itself has answered; the rest is a matter of the way to it.
-bool is_final(store_fault fault) {
+/// Whether the store itself has responded; other outcomes are failures of the path to it.
+bool store_responded(store_fault fault) {
     return fault != store_fault::refused && fault != store_fault::unknown;
 }
 
-loop::task<store_answer> call_directly(store_client& client, store_request request,
-                                       loop::milliseconds patience, store_way way) {
-    // A call that waits for changes looks the same on a connection that has gone silent.
+loop::task<store_response> call_directly(store_client& client, store_request request,
+                                         loop::milliseconds timeout, path_choice choice) {
+    // On a connection that has gone silent, a long poll can't be told from one without changes.
     const auto use =
-        way == store_way::one ? loop::connection_use::fresh : loop::connection_use::any;
+        choice == path_choice::single ? loop::connection_use::fresh : loop::connection_use::any;
     auto outcome = co_await loop::call(*client.connections, client.address, request.message,
-                                       loop::after(patience), connect_limit, use);
-    auto answer = judge(std::move(outcome));
-    client.count(request, to_string(answer.fault));
-    if (is_final(answer.fault)) {
-        note_answer(client.ways, false, loop::steady_clock::now());
+                                       loop::after(timeout), connect_timeout, use);
+    auto response = to_store_response(std::move(outcome));
+    client.count(request, to_string(response.fault));
+    if (store_responded(response.fault)) {
+        record_response(client.ways, false, loop::steady_clock::now());
     } else {
-        note_failure(client.ways, false, loop::steady_clock::now());
+        record_failure(client.ways, false, loop::steady_clock::now());
     }
-    co_return answer;
+    co_return response;
 }
 
-loop::task<store_answer> call_by_peers(store_client& client, store_request request,
-                                       loop::milliseconds patience) {
+loop::task<store_response> call_through_peers(store_client& client, store_request request,
+                                              loop::milliseconds timeout) {
     auto& message = request.message;
     message.path.insert(0, relay_path);
-    message.headers.push_back({std::string(patience_header), std::to_string(patience.count())});
+    message.headers.push_back({std::string(patience_header), std::to_string(timeout.count())});
     auto peers = client.peers();
-    if (client.served_peer) {
-        peers.insert(peers.begin(), *client.served_peer);
+    if (client.last_working_peer) {
+        peers.insert(peers.begin(), *client.last_working_peer);
     }
-    peers.resize(std::min(peers.size(), peers_asked));
-    store_answer last{store_fault::refused, {}, true};
+    peers.resize(std::min(peers.size(), max_peers_tried));
+    store_response peer_response{store_fault::refused, {}, true};
     for (const auto& peer : peers) {
-        auto outcome = co_await loop::call(*client.connections, peer, message,
-                                           loop::after(patience + peer_allowance), connect_limit);
-        last = judge(std::move(outcome));
-        last.by_peer = true;
+        auto outcome =
+            co_await loop::call(*client.connections, peer, message,
+                                loop::after(timeout + relay_timeout_margin), connect_timeout);
+        peer_response = to_store_response(std::move(outcome));
+        peer_response.by_peer = true;
         client.count(request, "by_peer");
-        const bool repeatable = message.method == "GET" || last.fault == store_fault::refused;
-        client.served_peer = is_final(last.fault) ? std::optional(peer) : std::nullopt;
-        if (is_final(last.fault) || !repeatable) {
+        const bool repeatable =
+            message.method == "GET" || peer_response.fault == store_fault::refused;
+        client.last_working_peer =
+            store_responded(peer_response.fault) ? std::optional(peer) : std::nullopt;
+        if (store_responded(peer_response.fault) || !repeatable) {
             break;
         }
     }
-    if (is_final(last.fault)) {
-        note_answer(client.ways, true, loop::steady_clock::now());
+    if (store_responded(peer_response.fault)) {
+        record_response(client.ways, true, loop::steady_clock::now());
     } else {
-        note_failure(client.ways, true, loop::steady_clock::now());
+        record_failure(client.ways, true, loop::steady_clock::now());
     }
-    co_return last;
+    co_return peer_response;
 }
 
 } // namespace
@@ -117,38 +120,40 @@
     return "invalid";
 }
 
-loop::task<store_answer> call_store(store_client& client, store_request request,
-                                    loop::milliseconds patience, store_way way) {
-    const auto plan = plan_ways(client.ways, way == store_way::one, loop::steady_clock::now());
+loop::task<store_response> call_store(store_client& client, store_request request,
+                                      loop::milliseconds timeout, path_choice choice) {
+    const auto plan =
+        plan_paths(client.ways, choice == path_choice::single, loop::steady_clock::now());
     if (plan.direct_first) {
-        auto answer = co_await call_directly(client, request, patience, way);
+        auto response = co_await call_directly(client, request, timeout, choice);
         const bool repeatable =
-            request.message.method == "GET" || answer.fault == store_fault::refused;
-        if (is_final(answer.fault) || !repeatable || !plan.peers) {
-            co_return answer;
+            request.message.method == "GET" || response.fault == store_fault::refused;
+        if (store_responded(response.fault) || !repeatable || !plan.peers) {
+            co_return response;
         }
     }
-    auto answer = co_await call_by_peers(client, request, patience);
-    if (plan.direct_last && answer.fault == store_fault::refused) {
-        answer = co_await call_directly(client, std::move(request), patience, way);
+    auto response = co_await call_through_peers(client, request, timeout);
+    if (plan.direct_last && response.fault == store_fault::refused) {
+        response = co_await call_directly(client, std::move(request), timeout, choice);
     }
-    co_return answer;
+    co_return response;
 }
 
 loop::task<transport::http_response>
-relay_call(store_client& client, transport::http_request request, loop::milliseconds patience) {
-    const bool open = client.ways.direct_from <= loop::steady_clock::now();
-    if (!open) {
-        co_return transport::http_response{status_nothing_done, {}, {}};
+relay_call(store_client& client, transport::http_request request, loop::milliseconds timeout) {
+    const bool direct_path_open = client.ways.direct_retry_at <= loop::steady_clock::now();
+    if (!direct_path_open) {
+        co_return transport::http_response{status_not_executed, {}, {}};
     }
     request.path.erase(0, relay_path.size());
     auto outcome = co_await loop::call(*client.connections, client.address, std::move(request),
-                                       loop::after(patience), connect_limit);
+                                       loop::after(timeout), connect_timeout);
     if (outcome.fault == loop::exchange_fault::none) {
         outcome.answer.headers.clear();
         co_return std::move(outcome.answer);
     }
-    co_return transport::http_response{outcome.sent ? status_unknown : status_nothing_done, {}, {}};
+    co_return transport::http_response{
+        outcome.sent ? status_outcome_unknown : status_not_executed, {}, {}};
 }
 
 } // namespace cornelloom::front
--- a/src/front/store_client.hpp
+++ b/src/front/store_client.hpp
@@ -12,29 +12,29 @@
 
 namespace cornelloom::front {
 
-/// What became of a call to the platform's store.
+/// Outcome of a call to the platform's store.
 enum class store_fault {
     none,
     not_found,
-    conflict,     ///< The object exists, or has another revision; the answer holds it.
-    history_gone, ///< The watch asked for changes that are dropped.
-    refused,      ///< Nothing was done.
-    unknown,      ///< It may have been done, or will be seconds later.
-    invalid,      ///< The store did not take the call as it is.
+    conflict,     ///< The object exists or has another revision; the response contains it.
+    history_gone, ///< The watch requested changes that the store no longer has.
+    refused,      ///< The call was not executed.
+    unknown,      ///< The call may have been executed, or may still be, seconds later.
+    invalid,      ///< The store rejected the call as malformed.
 };
 
 [[nodiscard]] std::string_view to_string(store_fault fault);
 
-struct store_answer {
+struct store_response {
     store_fault fault = store_fault::none;
     std::string body{};
-    bool by_peer = false; ///< A peer passed the call on.
+    bool by_peer = false; ///< A peer relayed the call.
 };
 
-/// The one way to the platform's store.
+/// Client of the platform's store; all calls to the store go through it.
 ///
-/// The store may turn away this host while it serves others. Then calls go through a peer, which
-/// passes them on; each has an answer of the store itself, so nothing is believed that a peer says.
+/// The store may reject this host while it serves others. Calls then go through a peer that relays
+/// them. Each relayed call gets the store's own response, so the peer's state need not be trusted.
 struct store_client {
     store_client(loop::connection_pool& pool, transport::endpoint platform)
         : connections(&pool), address(std::move(platform)) {}
@@ -43,37 +43,40 @@
     transport::endpoint address;
     std::function<std::vector<transport::endpoint>()> peers = [] {
         return std::vector<transport::endpoint>();
-    }; ///< Those to ask, in this order.
-    std::optional<transport::endpoint> served_peer{}; ///< The last that had the store's answer.
+    }; ///< Returns the peers that may relay a call, in order of preference.
+    /// The peer that last relayed a response of the store; tried first.
+    std::optional<transport::endpoint> last_working_peer{};
     std::function<void(const store_request& call, std::string_view outcome)> count =
         [](const store_request&, std::string_view) {};
-    store_ways ways{};
+    store_paths ways{};
 };
 
-/// Answers take some milliseconds, and a quarter of a second when the store is slow.
+/// Default timeout. The store responds in milliseconds, or in a quarter of a second when it is
+/// slow.
 inline constexpr loop::milliseconds store_call_limit{1500};
 
-/// Which ways a call may take.
-enum class store_way {
-    any,
-    /// Directly, or through a peer while the direct way is closed; not both. On a connection of its
-    /// own: for calls that wait.
-    one,
+/// Which paths a call may use.
+enum class path_choice {
+    any, ///< Both paths, one after the other.
+    /// For long polls: either the direct path or, while that is closed, a peer; never both. Uses a
+    /// new connection.
+    single,
 };
 
-/// Makes the call, directly or through a peer. `patience` is how long the store may think.
-loop::task<store_answer> call_store(store_client& client, store_request request,
-                                    loop::milliseconds patience = store_call_limit,
-                                    store_way way = store_way::any);
+/// Calls the store, directly or through a peer. `timeout` is the time that the store may take on
+/// each attempt.
+loop::task<store_response> call_store(store_client& client, store_request request,
+                                      loop::milliseconds timeout = store_call_limit,
+                                      path_choice choice = path_choice::any);
 
-/// The path under which a host passes calls of its peers on to the store.
+/// URL path prefix of calls that a host relays to the store for its peers.
 inline constexpr std::string_view relay_path = "/relay";
-/// Tells that host for how long the store may think, in milliseconds.
+/// Request header with the time that the store may take for a relayed call, in milliseconds.
 inline constexpr std::string_view patience_header = "Cornelloom-Patience-Ms";
 
-/// Passes a peer's call on. 503: nothing was done, also because this host's own way is closed;
-/// 504: it may have been done.
+/// Relays a peer's call to the store. Status 503: the call was not executed, for example because
+/// this host's own direct path is closed; 504: it may have been executed.
 loop::task<transport::http_response>
-relay_call(store_client& client, transport::http_request request, loop::milliseconds patience);
+relay_call(store_client& client, transport::http_request request, loop::milliseconds timeout);
 
 } // namespace cornelloom::front
--- a/src/front/store_ways.cpp
+++ b/src/front/store_ways.cpp
@@ -7,56 +7,58 @@
 
 namespace {
 
-/// The direct way is left out for so long after it has failed.
-constexpr loop::milliseconds direct_closed_for{1000};
-/// Peers are chosen anew after a failure, so their way is left out for a shorter time.
-constexpr loop::milliseconds peers_closed_for{500};
-/// Beyond this many doublings every pause is at its bound.
-constexpr int doublings_most = 8;
-/// A pause is longer or shorter by up to this part.
-constexpr double pause_spread = 0.25;
+/// How long the direct path is skipped after a failure.
+constexpr loop::milliseconds direct_retry_delay{1000};
+/// The same for the path through peers: shorter, since other peers are chosen after a failure.
+constexpr loop::milliseconds peers_retry_delay{500};
+/// Beyond this many doublings every backoff delay is at its upper bound.
+constexpr int max_doublings = 8;
+/// Jitter adds or subtracts up to this fraction of a backoff delay.
+constexpr double delay_jitter = 0.25;
 
 } // namespace
 
-way_plan plan_ways(const store_ways& ways, bool one_way, loop::deadline now) {
-    const bool direct = ways.direct_from <= now;
-    const bool peers = ways.peers_from <= now;
+path_plan plan_paths(const store_paths& paths, bool single_path, loop::deadline now) {
+    const bool direct = paths.direct_retry_at <= now;
+    const bool peers = paths.peers_retry_at <= now;
     if (direct || !peers) {
-        return {true, peers && !one_way, false};
+        return {true, peers && !single_path, false};
     }
-    return {false, true, !one_way};
+    return {false, true, !single_path};
 }
 
-void note_answer(store_ways& ways, bool by_peer, loop::deadline now) {
+void record_response(store_paths& paths, bool by_peer, loop::deadline now) {
     if (by_peer) {
-        ways.peers_from = {};
+        paths.peers_retry_at = {};
     } else {
-        ways.direct_from = {};
-        ways.last_direct = now;
+        paths.direct_retry_at = {};
+        paths.last_direct_response = now;
     }
-    ways.failures = 0;
+    paths.consecutive_failures = 0;
 }
 
-void note_failure(store_ways& ways, bool by_peer, loop::deadline now) {
+void record_failure(store_paths& paths, bool by_peer, loop::deadline now) {
     if (by_peer) {
-        ways.peers_from = now + peers_closed_for;
+        paths.peers_retry_at = now + peers_retry_delay;
         return;
     }
-    ways.direct_from = now + direct_closed_for;
-    ways.last_trouble = now;
-    // Several calls of a host fail together; they are one spell.
-    if (now - ways.counted >= first_store_pause) {
-        ways.counted = now;
-        ++ways.failures;
+    paths.direct_retry_at = now + direct_retry_delay;
+    paths.last_direct_failure = now;
+    // Concurrent calls of a host fail together, so failures within this time count as one.
+    if (now - paths.last_increment >= initial_store_delay) {
+        paths.last_increment = now;
+        ++paths.consecutive_failures;
     }
 }
 
-loop::milliseconds pause_after(const store_ways& ways, loop::milliseconds most, double chance) {
-    const int doublings = std::clamp(ways.failures - 1, 0, doublings_most);
-    const double wanted = std::ldexp(static_cast<double>(first_store_pause.count()), doublings);
-    const double bounded = std::min(wanted, static_cast<double>(most.count()));
-    const double spread = 1 + pause_spread * (2 * chance - 1);
-    return loop::milliseconds(static_cast<std::int64_t>(bounded * spread));
+loop::milliseconds pause_after(const store_paths& paths, loop::milliseconds max_delay,
+                               double random_unit) {
+    const int doublings = std::clamp(paths.consecutive_failures - 1, 0, max_doublings);
+    const double unbounded =
+        std::ldexp(static_cast<double>(initial_store_delay.count()), doublings);
+    const double bounded = std::min(unbounded, static_cast<double>(max_delay.count()));
+    const double jitter_factor = 1 + delay_jitter * (2 * random_unit - 1);
+    return loop::milliseconds(static_cast<std::int64_t>(bounded * jitter_factor));
 }
 
 } // namespace cornelloom::front
--- a/src/front/store_ways.hpp
+++ b/src/front/store_ways.hpp
@@ -4,46 +4,49 @@
 
 namespace cornelloom::front {
 
-/// What a host knows of its two ways to the platform's store: its own, and through a peer. The
-/// store may turn away this host while it serves others, and it may turn away all.
-struct store_ways {
-    loop::deadline direct_from{};  ///< The direct way is tried again from then on.
-    loop::deadline peers_from{};   ///< The same for the way through peers.
-    loop::deadline last_direct{};  ///< When the store last answered on the direct way.
-    loop::deadline last_trouble{}; ///< When a direct call last ended without the store's answer.
-    loop::deadline counted{};      ///< When `failures` last grew.
-    int failures = 0;              ///< Spells without an answer in a row; see `pause_after`.
+/// State of this host's two paths to the platform's store: direct, and relayed by a peer. The store
+/// may reject this host while it serves others, or reject all hosts.
+struct store_paths {
+    loop::deadline direct_retry_at{};      ///< When the direct path may be tried again.
+    loop::deadline peers_retry_at{};       ///< When the path through peers may be tried again.
+    loop::deadline last_direct_response{}; ///< When the store last responded on the direct path.
+    loop::deadline
+        last_direct_failure{};       ///< When a direct call last got no response from the store.
+    loop::deadline last_increment{}; ///< When `failures` was last incremented.
+    int consecutive_failures = 0;    ///< Consecutive direct failures; see `pause_after`.
 };
 
-/// The ways that one call may take, in this order: direct, peers, and direct after the peers.
-struct way_plan {
+/// The paths that a call tries, in this order: direct, peers, direct after the peers.
+struct path_plan {
     bool direct_first = false;
     bool peers = false;
-    bool direct_last = false; ///< Only if the peers say that nothing was done.
+    bool direct_last = false; ///< Only if the call was not executed through the peers.
 };
 
-/// Chooses the ways of a call.
+/// Chooses the paths of a call.
 ///
-/// Load it is made for: a store that turns away a third of some hundred hosts, or all of them, for
-/// seconds. Each try on each way is a call that the store counts. So a way that has just failed is
-/// left out while the other is open, and when both have failed, one direct call finds out whether
-/// the store is back. `one_way`: the call waits long and takes only one way.
-[[nodiscard]] way_plan plan_ways(const store_ways& ways, bool one_way, loop::deadline now);
+/// Designed for a store that rejects a third of about a hundred hosts, or all of them, for seconds.
+/// The store counts every attempt on either path. So a path that has just failed is skipped while
+/// the other one is open, and when both have failed, one direct call checks whether the store is
+/// back. `single_path`: the call is a long poll and uses only one path.
+[[nodiscard]] path_plan plan_paths(const store_paths& paths, bool single_path, loop::deadline now);
 
-/// The store has answered.
-void note_answer(store_ways& ways, bool by_peer, loop::deadline now);
+/// Records that the store responded to a call, directly or through a peer.
+void record_response(store_paths& paths, bool by_peer, loop::deadline now);
 
-/// A call had no answer of the store: on the direct way, or by all peers that were asked.
-void note_failure(store_ways& ways, bool by_peer, loop::deadline now);
+/// Records a call without a response from the store: direct, or through all peers that were tried.
+void record_failure(store_paths& paths, bool by_peer, loop::deadline now);
 
-inline constexpr loop::milliseconds first_store_pause{150};
+/// Backoff delay after the first failure.
+inline constexpr loop::milliseconds initial_store_delay{150};
 
-/// The pause before a failed call is made again: it doubles with each spell without an answer, up
-/// to `most`. `chance` from 0 to 1 spreads the hosts, which all fail at the same moment.
-[[nodiscard]] loop::milliseconds pause_after(const store_ways& ways, loop::milliseconds most,
-                                             double chance);
+/// The backoff delay before a failed call is repeated. It doubles with each consecutive failure, up
+/// to `max_delay`. `random_unit`, from 0 to 1, adds jitter, since all hosts fail at the same
+/// time.
+[[nodiscard]] loop::milliseconds pause_after(const store_paths& paths, loop::milliseconds max_delay,
+                                             double random_unit);
 
-/// Bounds of that pause: while a caller waits for the call, and otherwise.
+/// Upper bounds of the backoff delay: while a caller waits for the call, and otherwise.
 inline constexpr loop::milliseconds store_pause_awaited{300};
 inline constexpr loop::milliseconds store_pause_most{1200};
 
--- a/src/front/watch.cpp
+++ b/src/front/watch.cpp
@@ -9,55 +9,59 @@
 
 namespace {
 
-/// A waiting call costs as much as any other: the longer it waits, the cheaper.
-constexpr loop::milliseconds longest_wait{20000};
-constexpr loop::milliseconds shortest_wait{1000};
-/// Through a peer, whose own way may fail as well, the wait is short.
-constexpr loop::milliseconds watch_wait_by_peer{2000};
-constexpr loop::milliseconds watch_allowance{1500};
-/// After a watch that was lost: a pause, a list, and the way of the news to the hosts of the zone.
-constexpr loop::milliseconds catch_up_allowance{1000};
-/// Beyond its wait a feeder needs a round trip within the zone and its turn on a small processor.
-constexpr loop::milliseconds feed_allowance{500};
-constexpr loop::milliseconds feed_connect{250};
-/// How often a host looks whether it needs a kind that only some hosts need.
-constexpr loop::milliseconds unwanted_pause{300};
+/// Bounds of a long poll at the store. Each poll costs as much as any other call, so a longer wait
+/// is cheaper.
+constexpr loop::milliseconds max_watch_wait{20000};
+constexpr loop::milliseconds min_watch_wait{1000};
+/// Wait of a long poll that a peer relays: short, since the peer may lose its connection as well.
+constexpr loop::milliseconds relayed_watch_wait{2000};
+/// The timeout of a long poll at the store exceeds its wait by this.
+constexpr loop::milliseconds watch_timeout_margin{1500};
+/// Time to recover from a lost long poll: a backoff delay, a list, and the distribution of the
+/// changes to the hosts of the zone.
+constexpr loop::milliseconds watch_recovery_time{1000};
+/// The timeout of a poll at a feeder exceeds its wait by this: a round trip within the zone and
+/// the feeder's scheduling delay on a small CPU share.
+constexpr loop::milliseconds feed_timeout_margin{500};
+constexpr loop::milliseconds feed_connect_timeout{250};
+/// Interval of the check whether this host needs a kind that only some hosts need.
+constexpr loop::milliseconds need_check_interval{300};
 
-using followed_ptr = std::shared_ptr<followed>;
+using watched_kind_ptr = std::shared_ptr<followed>;
 
-void note_touch(host& self, followed& one, store_fault fault) {
+void record_store_contact(host& self, followed& watched, store_fault fault) {
     const bool lost = fault == store_fault::refused || fault == store_fault::unknown;
-    if (lost == one.out_of_touch) {
+    if (lost == watched.store_lost) {
         return;
     }
-    one.out_of_touch = lost;
+    watched.store_lost = lost;
     if (lost) {
         self.store_failed = true;
         self.learned.open();
     }
     note(self, lost ? platform_lost : platform_back,
-         {{"watch", to_string(one.kind)}, {"at", one.at}, {"fault", to_string(fault)}});
-    if (!lost && one.kind == object_kind::targets) {
+         {{"watch", to_string(watched.kind)}, {"at", watched.at}, {"fault", to_string(fault)}});
+    if (!lost && watched.kind == object_kind::targets) {
         note_return(self.targets, self.now());
     }
 }
 
-/// Reads all objects of a kind; false if the store or a page of the list failed. Changes since the
-/// first page may be missing, so `at` is the revision of that.
-loop::task<bool> read_list(std::shared_ptr<host> self, followed_ptr one, bool may_be_stale,
-                           object_page& out) {
+/// Reads all objects of a kind, page by page; false if a call failed or a page was unreadable. The
+/// pages may miss changes made since the first one, so `out.at` is the revision of the first page.
+loop::task<bool> read_all_pages(std::shared_ptr<host> self, watched_kind_ptr watched,
+                                bool may_be_stale, object_page& out) {
     std::string after;
     for (bool more = true; more;) {
-        auto answer =
-            co_await call_store(self->store, self->wire.list(one->kind, after, may_be_stale));
-        note_touch(*self, *one, answer.fault);
-        if (answer.fault != store_fault::none) {
+        auto response =
+            co_await call_store(self->store, self->wire.list(watched->kind, after, may_be_stale));
+        record_store_contact(*self, *watched, response.fault);
+        if (response.fault != store_fault::none) {
             co_return false;
         }
-        auto page = self->wire.page(answer.body);
+        auto page = self->wire.page(response.body);
         if (!page) {
             note(*self, object_unreadable,
-                 {{"kind", to_string(one->kind)}, {"problem", page.error().detail}});
+                 {{"kind", to_string(watched->kind)}, {"problem", page.error().detail}});
             co_return false;
         }
         out.at = out.at == 0 ? page.value().at : out.at;
@@ -68,167 +72,173 @@
     co_return true;
 }
 
-void note_names(followed& one, std::span<const object_change> changes) {
+void update_known_names(followed& watched, std::span<const object_change> changes) {
     for (const auto& change : changes) {
         if (change.deleted) {
-            one.names.erase(change.object.name);
+            watched.known_names.erase(change.object.name);
         } else {
-            one.names.insert(change.object.name);
+            watched.known_names.insert(change.object.name);
         }
     }
 }
 
-loop::task<bool> list_all(std::shared_ptr<host> self, followed_ptr one) {
+loop::task<bool> list_and_cache(std::shared_ptr<host> self, watched_kind_ptr watched) {
     object_page all;
-    const auto asked = self->clock.boot_now();
-    const bool whole = co_await read_list(self, one, false, all);
-    if (!whole) {
+    const auto requested_at = self->clock.boot_now();
+    const bool complete = co_await read_all_pages(self, watched, false, all);
+    if (!complete) {
         co_return false;
     }
-    keep_list(*self, one->kind, all.items, all.at);
-    one->names.clear();
+    cache_list(*self, watched->kind, all.items, all.at);
+    watched->known_names.clear();
     for (const auto& object : all.items) {
-        one->names.insert(object.name);
+        watched->known_names.insert(object.name);
     }
-    one->replace(all.items);
-    one->at = all.at;
-    note_confirmed(*self, one->kind, asked);
+    watched->on_list(all.items);
+    watched->at = all.at;
+    note_confirmed(*self, watched->kind, requested_at);
     co_return true;
 }
 
-loop::task<bool> watch_once(std::shared_ptr<host> self, followed_ptr one) {
-    const auto ways = plan_ways(self->store.ways, true, loop::steady_clock::now());
+loop::task<bool> poll_store(std::shared_ptr<host> self, watched_kind_ptr watched) {
+    const auto plan = plan_paths(self->store.ways, true, loop::steady_clock::now());
     const auto wait =
-        ways.direct_first ? watch_wait(one->kind, self->settings) : watch_wait_by_peer;
-    const auto asked = loop::steady_clock::now();
-    const auto known_from = self->clock.boot_now();
-    auto answer = co_await call_store(self->store, self->wire.watch(one->kind, one->at, wait),
-                                      wait + watch_allowance, store_way::one);
-    note_touch(*self, *one, answer.fault);
-    if (answer.fault == store_fault::history_gone || answer.fault == store_fault::invalid ||
-        answer.fault == store_fault::not_found) {
-        one->at = 0;
+        plan.direct_first ? watch_wait(watched->kind, self->settings) : relayed_watch_wait;
+    const auto poll_started = loop::steady_clock::now();
+    const auto current_as_of = self->clock.boot_now();
+    auto response =
+        co_await call_store(self->store, self->wire.watch(watched->kind, watched->at, wait),
+                            wait + watch_timeout_margin, path_choice::single);
+    record_store_contact(*self, *watched, response.fault);
+    if (response.fault == store_fault::history_gone || response.fault == store_fault::invalid ||
+        response.fault == store_fault::not_found) {
+        watched->at = 0;
         co_return true;
     }
-    if (answer.fault != store_fault::none) {
-        // A watch that was cut may have missed changes whose history is dropped, and one that
-        // starts from before them may hear nothing: what there is now is listed.
-        one->at = 0;
+    if (response.fault != store_fault::none) {
+        // An interrupted watch may have missed changes that are no longer in the store's history,
+        // and a watch from a revision before those may report nothing. So the kind is listed again.
+        watched->at = 0;
         co_return false;
     }
-    auto changes = self->wire.changes(answer.body);
+    auto changes = self->wire.changes(response.body);
     if (!changes) {
         note(*self, object_unreadable,
-             {{"kind", to_string(one->kind)}, {"problem", changes.error().detail}});
-        one->at = 0;
+             {{"kind", to_string(watched->kind)}, {"problem", changes.error().detail}});
+        watched->at = 0;
         co_return false;
     }
-    const bool early = loop::steady_clock::now() < asked + wait * 9 / 10;
+    const bool early = loop::steady_clock::now() < poll_started + wait * 9 / 10;
     if (changes.value().changes.empty() && early) {
         note(*self, watch_cut,
-             {{"watch", to_string(one->kind)},
-              {"at", one->at},
+             {{"watch", to_string(watched->kind)},
+              {"at", watched->at},
               {"answered_at", changes.value().at}});
-        one->at = 0;
+        watched->at = 0;
         co_return true;
     }
-    one->at = std::max(one->at, changes.value().at);
-    keep_changes(*self, one->kind, changes.value().changes, one->at);
+    watched->at = std::max(watched->at, changes.value().at);
+    cache_changes(*self, watched->kind, changes.value().changes, watched->at);
     if (!changes.value().changes.empty()) {
-        note_names(*one, changes.value().changes);
-        one->change(changes.value().changes);
+        update_known_names(*watched, changes.value().changes);
+        watched->on_changes(changes.value().changes);
     }
-    note_confirmed(*self, one->kind, known_from);
+    note_confirmed(*self, watched->kind, current_as_of);
     if (!changes.value().changes.empty()) {
-        co_await loop::pause_for(self->io, one->pause());
+        co_await loop::pause_for(self->io, watched->delay());
     }
     co_return true;
 }
 
-/// Takes what a feeder has answered.
-void take_news(followed& one, feed_answer& news) {
-    if (one.at == 0) {
+/// Applies the response of a feeder.
+void apply_feed_response(followed& watched, feed_response& feeder_response) {
+    if (watched.at == 0) {
         std::vector<stored_object> all;
-        all.reserve(news.changes.size());
-        one.names.clear();
-        note_names(one, news.changes);
-        for (auto& change : news.changes) {
+        all.reserve(feeder_response.changes.size());
+        watched.known_names.clear();
+        update_known_names(watched, feeder_response.changes);
+        for (auto& change : feeder_response.changes) {
             all.push_back(std::move(change.object));
         }
-        one.replace(all);
+        watched.on_list(all);
         return;
     }
-    if (news.names) {
-        std::ranges::move(removals(one.names, *news.names), std::back_inserter(news.changes));
+    if (feeder_response.names) {
+        std::ranges::move(find_deletions(watched.known_names, *feeder_response.names),
+                          std::back_inserter(feeder_response.changes));
     }
-    if (!news.changes.empty()) {
-        note_names(one, news.changes);
-        one.change(news.changes);
+    if (!feeder_response.changes.empty()) {
+        update_known_names(watched, feeder_response.changes);
+        watched.on_changes(feeder_response.changes);
     }
 }
 
-/// Asks a feeder for everything, or for changes.
-loop::task<bool> ask_feeder(std::shared_ptr<host> self, followed_ptr one, host_entry feeder) {
-    // Revisions are the store's, so what another feeder or the store itself said stays comparable.
-    const auto asked = self->clock.boot_now();
-    auto question = feed_question(one->kind, one->at);
-    const auto told = self->usage.changes + self->demand.changes;
-    const bool tells = one->kind == object_kind::configuration &&
-                       (one->told_to != feeder.name || one->told != told);
-    if (tells) {
-        tell_counts(*self, question);
+/// Requests the full list or changes from a feeder. A feeder that fails is avoided.
+loop::task<bool> poll_feeder(std::shared_ptr<host> self, watched_kind_ptr watched,
+                             host_entry feeder) {
+    // Revisions are assigned by the store, so `at` stays valid when the feeder changes.
+    const auto requested_at = self->clock.boot_now();
+    auto poll_request = make_feed_request(watched->kind, watched->at);
+    const auto count_changes = self->usage.changes + self->demand.changes;
+    const bool sends_counts =
+        watched->kind == object_kind::configuration &&
+        (watched->counts_sent_to != feeder.name || watched->counts_sent != count_changes);
+    if (sends_counts) {
+        attach_counts(*self, poll_request);
     }
-    const auto limit = one->at == 0 ? list_time : feed_wait + feed_allowance;
-    auto outcome = co_await loop::call(self->connections, feeder.where, std::move(question),
-                                       loop::after(limit), feed_connect);
-    if (tells && outcome.fault == loop::exchange_fault::none) {
-        one->told_to = feeder.name;
-        one->told = told;
+    const auto timeout =
+        watched->at == 0 ? feed_list_timeout : feed_poll_wait + feed_timeout_margin;
+    auto outcome = co_await loop::call(self->connections, feeder.where, std::move(poll_request),
+                                       loop::after(timeout), feed_connect_timeout);
+    if (sends_counts && outcome.fault == loop::exchange_fault::none) {
+        watched->counts_sent_to = feeder.name;
+        watched->counts_sent = count_changes;
     }
-    const bool answered = outcome.fault == loop::exchange_fault::none;
-    auto read = decode_feed(answered && outcome.answer.status == 200 ? outcome.answer.body : "");
-    if (!read) {
+    const bool responded = outcome.fault == loop::exchange_fault::none;
+    auto decoded =
+        decode_feed_response(responded && outcome.answer.status == 200 ? outcome.answer.body : "");
+    if (!decoded) {
         note(*self, feeder_lost,
-             {{"watch", to_string(one->kind)},
+             {{"watch", to_string(watched->kind)},
               {"feeder", feeder.name},
               {"fault", to_string(outcome.fault)},
               {"status", status_of(outcome)}});
         avoid_feeder(self->avoided, feeder.name, self->now());
         co_return true;
     }
-    auto& news = read.value();
-    take_news(*one, news);
-    one->at = std::max(one->at, news.at);
-    if (news.age) {
-        note_confirmed(*self, one->kind, asked - *news.age);
+    auto& feeder_response = decoded.value();
+    apply_feed_response(*watched, feeder_response);
+    watched->at = std::max(watched->at, feeder_response.at);
+    if (feeder_response.age) {
+        note_confirmed(*self, watched->kind, requested_at - *feeder_response.age);
     }
     co_return true;
 }
 
-/// The next list or change, from a feeder or from the store; false if there was no answer.
-loop::task<bool> follow_once(std::shared_ptr<host> self, followed_ptr one) {
-    auto& kept = self->kept[one->kind];
-    const auto feeder = one->wanted ? std::nullopt : choose_feeder(*self, one->kind);
-    kept.live = !feeder && !one->wanted;
+/// Reads the next list or changes, from a feeder or from the store; false if the store failed.
+loop::task<bool> update_once(std::shared_ptr<host> self, watched_kind_ptr watched) {
+    auto& cache = self->kept[watched->kind];
+    const auto feeder = watched->wanted ? std::nullopt : choose_feeder(*self, watched->kind);
+    cache.live = !feeder && !watched->wanted;
     if (feeder) {
-        co_return co_await ask_feeder(self, one, *feeder);
+        co_return co_await poll_feeder(self, watched, *feeder);
     }
-    // What this host passes on must be whole, so it starts from a list of its own.
-    if (one->at == 0 || kept.at != one->at) {
-        co_return co_await list_all(self, one);
+    // A feeder must serve complete data, so its cache starts from a list that it read itself.
+    if (watched->at == 0 || cache.at != watched->at) {
+        co_return co_await list_and_cache(self, watched);
     }
-    co_return co_await watch_once(self, one);
+    co_return co_await poll_store(self, watched);
 }
 
-loop::task<void> follow(std::shared_ptr<host> self, followed_ptr one) {
+loop::task<void> keep_updated(std::shared_ptr<host> self, watched_kind_ptr watched) {
     for (;;) {
-        if (one->wanted && !one->wanted()) {
-            one->at = 0;
-            co_await loop::pause_for(self->io, unwanted_pause);
+        if (watched->wanted && !watched->wanted()) {
+            watched->at = 0;
+            co_await loop::pause_for(self->io, need_check_interval);
             continue;
         }
-        const bool done = co_await follow_once(self, one);
-        if (!done) {
+        const bool succeeded = co_await update_once(self, watched);
+        if (!succeeded) {
             co_await loop::pause_for(self->io, store_pause(*self, store_pause_most));
         }
     }
@@ -238,34 +248,35 @@
 
 loop::milliseconds watch_wait(object_kind kind, const host_settings& settings) {
     if (kind == object_kind::hosts) {
-        return longest_wait; // no bound depends on how soon a peer is known
+        return max_watch_wait; // no bound depends on how soon a peer is known
     }
-    const auto soonest_bound = settings.calm + std::min(settings.in_force, settings.drain);
-    const auto usual = std::clamp(soonest_bound - watch_allowance - catch_up_allowance,
-                                  shortest_wait, longest_wait);
+    const auto shortest_bound = settings.calm + std::min(settings.in_force, settings.drain);
+    const auto usual_wait = std::clamp(shortest_bound - watch_timeout_margin - watch_recovery_time,
+                                       min_watch_wait, max_watch_wait);
     if (kind == object_kind::configuration && settings.revocation) {
-        // Two hosts pass it on, each with a wait of its own, and a quarter is for their delays.
-        return std::clamp(*settings.revocation / 4, shortest_wait, usual);
+        // A configuration passes through two hosts, each with a wait of its own; a quarter of the
+        // bound is left for their delays.
+        return std::clamp(*settings.revocation / 4, min_watch_wait, usual_wait);
     }
-    return usual;
+    return usual_wait;
 }
 
-void start_watch(const std::shared_ptr<host>& self, followed one) {
-    auto shared = std::make_shared<followed>(std::move(one));
-    loop::asio::co_spawn(self->io, follow(self, std::move(shared)), loop::asio::detached);
+void start_watch(const std::shared_ptr<host>& self, followed watched) {
+    auto shared = std::make_shared<followed>(std::move(watched));
+    loop::asio::co_spawn(self->io, keep_updated(self, std::move(shared)), loop::asio::detached);
 }
 
-loop::task<void> look_once(std::shared_ptr<host> self, followed one, bool may_be_stale) {
-    auto shared = std::make_shared<followed>(std::move(one));
+loop::task<void> list_once(std::shared_ptr<host> self, followed watched, bool may_be_stale) {
+    auto shared = std::make_shared<followed>(std::move(watched));
     object_page all;
-    const auto asked = self->clock.boot_now();
-    const bool whole = co_await read_list(self, shared, may_be_stale, all);
-    if (!whole) {
+    const auto requested_at = self->clock.boot_now();
+    const bool complete = co_await read_all_pages(self, shared, may_be_stale, all);
+    if (!complete) {
         co_return;
     }
-    shared->replace(all.items);
+    shared->on_list(all.items);
     if (!may_be_stale) {
-        note_confirmed(*self, shared->kind, asked);
+        note_confirmed(*self, shared->kind, requested_at);
     }
 }
 
--- a/src/front/watch.hpp
+++ b/src/front/watch.hpp
@@ -10,45 +10,49 @@
 
 namespace cornelloom::front {
 
-/// Keeping up with one kind of objects: a list, then changes, from a feeder or from the store.
+/// Keeps this host's copy of one kind of objects up to date: a list first, then changes, read from
+/// a feeder or from the store.
 
-/// One kind of objects and what its changes mean.
+/// A kind of objects to watch, with its callbacks and the state of its watch.
 struct followed {
     object_kind kind;
-    /// After changes, before more of them are asked for.
-    std::function<loop::milliseconds()> pause;
-    std::function<void(std::span<const stored_object>)> replace;
-    std::function<void(std::span<const object_change>)> change;
-    /// Whether this host needs the kind now; such a kind is read from the store itself. Empty: it
-    /// always does, and asks a feeder if there is one.
+    /// Returns the delay between receiving changes and requesting more.
+    std::function<loop::milliseconds()> delay;
+    /// Called with all objects after each list.
+    std::function<void(std::span<const stored_object>)> on_list;
+    std::function<void(std::span<const object_change>)> on_changes;
+    /// Whether this host needs the kind now; such a kind is read only from the store. If empty, the
+    /// kind is always needed and comes from a feeder if there is one.
     std::function<bool()> wanted{};
-    std::set<std::string, std::less<>> names{}; ///< Of the objects that this host knows.
-    std::uint64_t at = 0; ///< Changes from this revision on are still to come; 0: list first.
-    bool out_of_touch = false;
-    /// The feeder that was told this host's counts, and how many changes these had had.
-    std::string told_to{};
-    std::uint64_t told = 0;
+    std::set<std::string, std::less<>> known_names{}; ///< Names of the objects known to this host.
+    /// Store revision up to which this host is current; 0: the kind must be listed first.
+    std::uint64_t at = 0;
+    bool store_lost = false; ///< The last call to the store got no response from it.
+    /// The feeder that last received this host's counts, and the change number of those counts.
+    std::string counts_sent_to{};
+    std::uint64_t counts_sent = 0;
 };
 
-/// For kinds whose every change matters at once.
+/// Delay for kinds whose changes must all be received immediately.
 [[nodiscard]] inline loop::milliseconds no_pause() {
     return loop::milliseconds{0};
 }
 
-/// How long a waiting call for changes of this kind waits at the store.
+/// How long the store may hold a long poll for changes of this kind.
 ///
-/// Failure it is made for: the answer of a waiting call is lost, and its connection stays open and
-/// says nothing more. Probes of the connection succeed, and no other call need fail, so this host
-/// goes on with what it knew: it refuses new routes and sends work to targets that have left. Such
-/// a call must be over, and the kind listed anew, before the time bounds hold again after the
-/// trouble that lost the answer. Where keys are taken away strictly, what is known of the
-/// configuration must also be proved anew, at every host, well within that bound.
+/// Guards against a poll whose response is lost while its connection stays open and silent.
+/// Keep-alive probes succeed and no other call has to fail, so this host goes on with stale data:
+/// it refuses requests for new routes and sends work to targets that have left. Such a poll must
+/// time out, and the kind be listed again, before the time bounds apply again after the outage that
+/// lost the response. With strict revocation, every host must also confirm that its configuration
+/// is current well within the revocation bound.
 [[nodiscard]] loop::milliseconds watch_wait(object_kind kind, const host_settings& settings);
 
-/// Follows the kind until the loop ends.
-void start_watch(const std::shared_ptr<host>& self, followed one);
+/// Keeps the kind up to date until the event loop ends.
+void start_watch(const std::shared_ptr<host>& self, followed watched);
 
-/// Reads the list once. As some copy of the store has it, it may be seconds old, and costs a tenth.
-loop::task<void> look_once(std::shared_ptr<host> self, followed one, bool may_be_stale);
+/// Lists the kind once. With `may_be_stale`, a replica of the store may serve the list, which may
+/// then be seconds old but costs a tenth.
+loop::task<void> list_once(std::shared_ptr<host> self, followed watched, bool may_be_stale);
 
 } // namespace cornelloom::front
--- a/src/front/window_counts.cpp
+++ b/src/front/window_counts.cpp
@@ -6,36 +6,36 @@
 
 using json = nlohmann::json;
 
-window_number window_at(const window_counts& book, std::int64_t unix_ms) {
-    return unix_ms / book.length.count();
+window_number window_at(const window_counts& counts, std::int64_t unix_ms) {
+    return unix_ms / counts.length.count();
 }
 
-std::int64_t begin_of(const window_counts& book, window_number window) {
-    return window * book.length.count();
+std::int64_t begin_of(const window_counts& counts, window_number window) {
+    return window * counts.length.count();
 }
 
-void add_one(window_counts& book, std::string_view counter, std::string_view name,
+void add_one(window_counts& counts, std::string_view process, std::string_view name,
              std::int64_t unix_ms) {
-    auto& counts = book.windows[window_at(book, unix_ms)][std::string(counter)];
-    ++counts[std::string(name)];
-    ++book.changes;
+    auto& by_name = counts.windows[window_at(counts, unix_ms)][std::string(process)];
+    ++by_name[std::string(name)];
+    ++counts.changes;
 }
 
-void add_peak(window_counts& book, std::string_view counter, std::string_view name,
-              std::int64_t unix_ms, std::uint64_t together) {
-    auto& counts = book.windows[window_at(book, unix_ms)][std::string(counter)];
-    auto& most = counts[std::string(name)];
-    if (together > most) {
-        most = together;
-        ++book.changes;
+void record_peak(window_counts& counts, std::string_view process, std::string_view name,
+                 std::int64_t unix_ms, std::uint64_t concurrent) {
+    auto& by_name = counts.windows[window_at(counts, unix_ms)][std::string(process)];
+    auto& peak = by_name[std::string(name)];
+    if (concurrent > peak) {
+        peak = concurrent;
+        ++counts.changes;
     }
 }
 
-void merge(window_counts& book, const window_counts& told) {
-    for (const auto& [window, counters] : told.windows) {
-        for (const auto& [counter, counts] : counters) {
-            auto& known = book.windows[window][counter];
-            for (const auto& [name, count] : counts) {
+void merge(window_counts& counts, const window_counts& received) {
+    for (const auto& [window, by_process] : received.windows) {
+        for (const auto& [process, by_name] : by_process) {
+            auto& known = counts.windows[window][process];
+            for (const auto& [name, count] : by_name) {
                 auto& largest = known[name];
                 largest = std::max(largest, count);
             }
@@ -43,32 +43,32 @@
     }
 }
 
-named_counts totals(const window_counts& book, window_number window) {
+named_counts totals(const window_counts& counts, window_number window) {
     named_counts out;
-    const auto found = book.windows.find(window);
-    if (found == book.windows.end()) {
+    const auto found = counts.windows.find(window);
+    if (found == counts.windows.end()) {
         return out;
     }
-    for (const auto& [counter, counts] : found->second) {
-        for (const auto& [name, count] : counts) {
+    for (const auto& [process, by_name] : found->second) {
+        for (const auto& [name, count] : by_name) {
             out[name] += count;
         }
     }
     return out;
 }
 
-void forget_before(window_counts& book, window_number window) {
-    book.windows.erase(book.windows.begin(), book.windows.lower_bound(window));
+void drop_before(window_counts& counts, window_number window) {
+    counts.windows.erase(counts.windows.begin(), counts.windows.lower_bound(window));
 }
 
-json encode_windows(const window_counts& book, window_number first, window_number last,
-                    std::string_view counter) {
+json encode_windows(const window_counts& counts, window_number first, window_number last,
+                    std::string_view process) {
     json out = json::object();
-    const auto stop = book.windows.upper_bound(last);
-    for (auto at = book.windows.lower_bound(first); at != stop; ++at) {
-        for (const auto& [name, counts] : at->second) {
-            if (counter.empty() || counter == name) {
-                out[std::to_string(at->first)][name] = counts;
+    const auto stop = counts.windows.upper_bound(last);
+    for (auto at = counts.windows.lower_bound(first); at != stop; ++at) {
+        for (const auto& [counted_by, by_name] : at->second) {
+            if (process.empty() || process == counted_by) {
+                out[std::to_string(at->first)][counted_by] = by_name;
             }
         }
     }
@@ -78,10 +78,10 @@
 kernel::result<window_counts> decode_windows(const json& value) {
     try {
         window_counts out;
-        for (const auto& [window, counters] : value.items()) {
-            auto& read = out.windows[std::stoll(window)];
-            for (const auto& [counter, counts] : counters.items()) {
-                read[counter] = counts.get<named_counts>();
+        for (const auto& [window, by_process] : value.items()) {
+            auto& decoded = out.windows[std::stoll(window)];
+            for (const auto& [process, by_name] : by_process.items()) {
+                decoded[process] = by_name.get<named_counts>();
             }
         }
         return out;
--- a/src/front/window_counts.hpp
+++ b/src/front/window_counts.hpp
@@ -12,54 +12,57 @@
 
 namespace cornelloom::front {
 
-/// Counting by windows of time, over all hosts.
+/// Counts per time window, over all hosts.
 ///
-/// Load it is made for: a platform that bills by what each client account had run in windows of a
-/// few seconds, counted by some hundred hosts that are restarted and killed at any moment. Each
-/// process counts under a name of its own, and counts only grow. So a count may be told to several
-/// hosts, again and again and in any order: the larger one holds, and nothing is added twice.
+/// Designed for a platform that bills the requests of each client account in windows of a few
+/// seconds, counted by about a hundred hosts that may be restarted or killed at any moment. The
+/// counts form a grow-only counter (G-Counter): each process counts under a name of its own, and
+/// its counts only grow. So counts may be sent to several hosts, repeatedly and in any order: the
+/// larger value wins, and nothing is counted twice.
 
-/// Counts by what is counted: a client account, or a service.
+/// Counts by name of what is counted: a client account or a service.
 using named_counts = std::map<std::string, std::uint64_t, std::less<>>;
 
-/// The number of a window: how many windows have begun since 1970 before it.
+/// Sequence number of a window: Unix time divided by the window length.
 using window_number = std::int64_t;
 
-/// Counts of this process and of others that have told it theirs.
+/// Counts of this process and those received from other processes.
 struct window_counts {
-    milliseconds length{5000}; ///< Of a window.
-    /// By window, then by the process that has counted.
+    milliseconds length{5000}; ///< Length of a window.
+    /// By window, then by the process that counted.
     std::map<window_number, std::map<std::string, named_counts, std::less<>>> windows{};
-    std::uint64_t changes = 0; ///< Of this process's own counts so far.
+    std::uint64_t changes = 0; ///< How often this process's own counts have changed.
 };
 
-[[nodiscard]] window_number window_at(const window_counts& book, std::int64_t unix_ms);
+/// The window that contains the time `unix_ms`.
 
-/// When the window begins, in Unix time.
-[[nodiscard]] std::int64_t begin_of(const window_counts& book, window_number window);
+[[nodiscard]] window_number window_at(const window_counts& counts, std::int64_t unix_ms);
 
-/// The process `counter` has seen one more of `name` at `unix_ms`.
-void add_one(window_counts& book, std::string_view counter, std::string_view name,
+/// Start of the window, in milliseconds of Unix time.
+[[nodiscard]] std::int64_t begin_of(const window_counts& counts, window_number window);
+
+/// Increments the count of `name` by `process` in the window of `unix_ms`.
+void add_one(window_counts& counts, std::string_view process, std::string_view name,
              std::int64_t unix_ms);
 
-/// The process `counter` has seen so many of `name` together at `unix_ms`: the most of a window
-/// counts.
-void add_peak(window_counts& book, std::string_view counter, std::string_view name,
-              std::int64_t unix_ms, std::uint64_t together);
+/// Records that `process` saw `concurrent` of `name` at the same time, `unix_ms`. The count of a
+/// window is the largest such number.
+void record_peak(window_counts& counts, std::string_view process, std::string_view name,
+                 std::int64_t unix_ms, std::uint64_t concurrent);
 
-/// Adds what another process has told.
-void merge(window_counts& book, const window_counts& told);
+/// Merges counts received from another process: the larger value of each count wins.
+void merge(window_counts& counts, const window_counts& received);
 
-/// The sum over all processes.
-[[nodiscard]] named_counts totals(const window_counts& book, window_number window);
+/// The counts of a window, summed over all processes.
+[[nodiscard]] named_counts totals(const window_counts& counts, window_number window);
 
-/// Drops windows before this one.
-void forget_before(window_counts& book, window_number window);
+/// Drops all windows before this one.
+void drop_before(window_counts& counts, window_number window);
 
-/// The windows from `first` to `last`, for another process. `counter`: only what this process has
-/// counted; empty: all.
-[[nodiscard]] nlohmann::json encode_windows(const window_counts& book, window_number first,
-                                            window_number last, std::string_view counter = {});
+/// Encodes the windows from `first` to `last` for another process: only the counts of `process`, or
+/// those of all processes if it is empty.
+[[nodiscard]] nlohmann::json encode_windows(const window_counts& counts, window_number first,
+                                            window_number last, std::string_view process = {});
 [[nodiscard]] kernel::result<window_counts> decode_windows(const nlohmann::json& value);
 
 } // namespace cornelloom::front
--- a/tests/front/feeder_choice_tests.cpp
+++ b/tests/front/feeder_choice_tests.cpp
@@ -11,18 +11,18 @@
 
 namespace {
 
-constexpr int hosts_of_zone = 45;
-/// A host asks again after this, served or not.
-constexpr auto question = 900ms;
+constexpr int zone_size = 45;
+/// Interval between two polls of a host, whether they are served or not.
+constexpr auto poll_interval = 900ms;
 
-enum class condition { sound, turned_away, dead };
+enum class host_state { healthy, rejected, dead };
 
-/// One host of the zone with what it believes.
+/// A simulated host and its view of the feeders.
 struct zone_host {
     host_entry entry;
-    condition now = condition::sound;
+    host_state state = host_state::healthy;
     avoided_feeders avoided{};
-    time_point asked_in_vain{};
+    time_point last_unserved_poll{};
 };
 
 struct zone {
@@ -33,126 +33,129 @@
 
 zone make_zone() {
     zone out;
-    for (int at = 0; at < hosts_of_zone; ++at) {
+    for (int index = 0; index < zone_size; ++index) {
         host_entry entry;
-        entry.name = "front-" + std::to_string(100 + at);
+        entry.name = "front-" + std::to_string(100 + index);
         entry.zone = "krakow-a";
-        entry.processor = at < 3 ? 0.5 : 0.12;
+        entry.processor = index < 3 ? 0.5 : 0.12;
         out.entries.emplace(entry.name, entry);
         out.hosts.push_back({entry});
     }
     return out;
 }
 
-zone_host& find(zone& all, std::string_view name) {
-    return *std::ranges::find(all.hosts, name,
+zone_host& host_named(zone& simulated, std::string_view name) {
+    return *std::ranges::find(simulated.hosts, name,
                               [](const zone_host& each) { return each.entry.name; });
 }
 
-std::optional<host_entry> feeder_of(const zone& all, const zone_host& one) {
-    if (one.asked_in_vain != time_point{} && all.now - one.asked_in_vain < feeder_avoidance) {
+std::optional<host_entry> feeder_of(const zone& simulated, const zone_host& member) {
+    if (member.last_unserved_poll != time_point{} &&
+        simulated.now - member.last_unserved_poll < feeder_avoidance_time) {
         return std::nullopt;
     }
-    auto peers = all.entries;
-    peers.erase(one.entry.name);
-    return first_of_zone(one.entry, peers, one.avoided, all.now);
+    auto peers = simulated.entries;
+    peers.erase(member.entry.name);
+    return first_of_zone(member.entry, peers, member.avoided, simulated.now);
 }
 
-/// Every living host asks its feeder once; the hosts that watch the store after that.
-std::set<std::string> ask_once(zone& all) {
+/// Lets every live host poll its feeder once. Returns the hosts that watch the store instead.
+std::set<std::string> poll_once(zone& simulated) {
     std::set<std::string> watching;
-    for (auto& one : all.hosts) {
-        if (one.now == condition::dead) {
+    for (auto& member : simulated.hosts) {
+        if (member.state == host_state::dead) {
             continue;
         }
-        const auto feeder = feeder_of(all, one);
+        const auto feeder = feeder_of(simulated, member);
         if (!feeder) {
-            watching.insert(one.entry.name);
+            watching.insert(member.entry.name);
             continue;
         }
-        auto& asked = find(all, feeder->name);
-        if (asked.now != condition::sound) {
-            asked.asked_in_vain = all.now;
-            avoid_feeder(one.avoided, feeder->name, all.now);
+        auto& polled = host_named(simulated, feeder->name);
+        if (polled.state != host_state::healthy) {
+            polled.last_unserved_poll = simulated.now;
+            avoid_feeder(member.avoided, feeder->name, simulated.now);
         }
     }
-    all.now += question;
+    simulated.now += poll_interval;
     return watching;
 }
 
-std::set<std::string> play(zone& all, std::chrono::milliseconds span) {
+std::set<std::string> simulate(zone& simulated, std::chrono::milliseconds duration) {
     std::set<std::string> watching;
-    for (const auto end = all.now + span; all.now < end;) {
-        watching.merge(ask_once(all));
+    for (const auto end = simulated.now + duration; simulated.now < end;) {
+        watching.merge(poll_once(simulated));
     }
     return watching;
 }
 
 } // namespace
 
-TEST_CASE("one host of a quiet zone watches the store", "[front][feed]") {
-    auto all = make_zone();
-    CHECK(play(all, 20s) == std::set<std::string>{"front-100"});
+TEST_CASE("without failures, one host of a zone watches the store", "[front][feed]") {
+    auto simulated = make_zone();
+    CHECK(simulate(simulated, 20s) == std::set<std::string>{"front-100"});
 }
 
-TEST_CASE("a store that turns all hosts away is not tried by all of them", "[front][feed][storm]") {
-    // Guards against a storm of calls: each host gave up one feeder after the other and watched.
-    auto all = make_zone();
-    for (auto& one : all.hosts) {
-        one.now = condition::turned_away;
+TEST_CASE("a store that rejects all hosts is not called by all of them", "[front][feed][storm]") {
+    // Failure: a storm of calls, because each host gave up one feeder after the other and then
+    // watched the store itself.
+    auto simulated = make_zone();
+    for (auto& member : simulated.hosts) {
+        member.state = host_state::rejected;
     }
-    // As many as are asked until the first one is no longer avoided.
-    const auto in_turn = static_cast<std::size_t>(feeder_avoidance / question) + 1;
-    CHECK(play(all, 9s).size() <= in_turn);
+    // The number of hosts that are polled until the first one is no longer avoided.
+    const auto polled_in_turn = static_cast<std::size_t>(feeder_avoidance_time / poll_interval) + 1;
+    CHECK(simulate(simulated, 9s).size() <= polled_in_turn);
 }
 
-TEST_CASE("hosts whose first two feeders are cut off have the news of the third in time",
+TEST_CASE("hosts whose first two feeders are cut off switch to the third in time",
           "[front][feed][cut]") {
-    // Guards against a new route that a host does not know 2.5 s after it is in force elsewhere.
-    auto all = make_zone();
-    all.hosts[0].now = condition::turned_away;
-    all.hosts[1].now = condition::turned_away;
-    (void)play(all, 2 * question);
-    for (std::size_t at = 3; at < all.hosts.size(); ++at) {
-        CHECK(feeder_of(all, all.hosts[at])->name == "front-102");
+    // Guards against a host that still doesn't know a new route 2.5 s after it is in force
+    // elsewhere.
+    auto simulated = make_zone();
+    simulated.hosts[0].state = host_state::rejected;
+    simulated.hosts[1].state = host_state::rejected;
+    (void)simulate(simulated, 2 * poll_interval);
+    for (std::size_t index = 3; index < simulated.hosts.size(); ++index) {
+        CHECK(feeder_of(simulated, simulated.hosts[index])->name == "front-102");
     }
 }
 
-TEST_CASE("the next host in line watches when the first is turned away", "[front][feed][storm]") {
-    // Guards against hosts that stay with a feeder that has no news.
-    auto all = make_zone();
-    all.hosts[0].now = condition::turned_away;
-    (void)play(all, 2s);
-    for (const auto& one : all.hosts) {
-        const auto feeder = feeder_of(all, one);
+TEST_CASE("the next host in the order watches when the store rejects the first",
+          "[front][feed][storm]") {
+    // Guards against hosts that keep polling a feeder that has no fresh data.
+    auto simulated = make_zone();
+    simulated.hosts[0].state = host_state::rejected;
+    (void)simulate(simulated, 2s);
+    for (const auto& member : simulated.hosts) {
+        const auto feeder = feeder_of(simulated, member);
         CHECK((!feeder || feeder->name != "front-100"));
     }
-    CHECK(play(all, 7s).size() <= 2);
+    CHECK(simulate(simulated, 7s).size() <= 2);
 }
 
-TEST_CASE("hosts whose first feeders are killed together find one that lives",
-          "[front][feed][kill]") {
-    // Guards against a rule for outages that keeps hosts with feeders that are dead.
-    auto all = make_zone();
-    for (std::size_t at = 0; at < all.hosts.size(); at += 2) {
-        all.hosts[at].now = condition::dead;
+TEST_CASE("hosts whose first feeders are killed together find a live one", "[front][feed][kill]") {
+    // Guards against outage handling that makes hosts keep polling dead feeders.
+    auto simulated = make_zone();
+    for (std::size_t index = 0; index < simulated.hosts.size(); index += 2) {
+        simulated.hosts[index].state = host_state::dead;
     }
-    all.hosts[1].now = condition::dead;
-    (void)play(all, 3s);
-    for (const auto& one : all.hosts) {
-        const auto feeder = feeder_of(all, one);
-        if (one.now == condition::sound && feeder) {
+    simulated.hosts[1].state = host_state::dead;
+    (void)simulate(simulated, 3s);
+    for (const auto& member : simulated.hosts) {
+        const auto feeder = feeder_of(simulated, member);
+        if (member.state == host_state::healthy && feeder) {
             CHECK(feeder->name == "front-103");
         }
     }
 }
 
-TEST_CASE("a feeder is asked again after a while", "[front][feed]") {
-    // Guards against a zone that watches twice for good after one lost connection.
-    auto all = make_zone();
-    auto& one = all.hosts[20];
-    avoid_feeder(one.avoided, "front-100", all.now);
-    CHECK(feeder_of(all, one)->name == "front-101");
-    all.now += feeder_avoidance;
-    CHECK(feeder_of(all, one)->name == "front-100");
+TEST_CASE("an avoided feeder is polled again later", "[front][feed]") {
+    // Guards against a zone that has two watching hosts for good after one lost connection.
+    auto simulated = make_zone();
+    auto& member = simulated.hosts[20];
+    avoid_feeder(member.avoided, "front-100", simulated.now);
+    CHECK(feeder_of(simulated, member)->name == "front-101");
+    simulated.now += feeder_avoidance_time;
+    CHECK(feeder_of(simulated, member)->name == "front-100");
 }
--- a/tests/front/store_ways_tests.cpp
+++ b/tests/front/store_ways_tests.cpp
@@ -8,92 +8,91 @@
 namespace {
 
 constexpr cornelloom::loop::deadline start{1h};
-constexpr double middle = 0.5;
+constexpr double no_jitter = 0.5;
 
-/// Calls that reach the store when a host makes one every time its pause is over.
-int calls_in(std::chrono::milliseconds outage) {
-    store_ways ways;
+/// Calls that the store receives from a host that retries after each backoff delay.
+int calls_during(std::chrono::milliseconds outage) {
+    store_paths paths;
     int calls = 0;
     for (auto now = start; now < start + outage;) {
-        const auto plan = plan_ways(ways, false, now);
+        const auto plan = plan_paths(paths, false, now);
         if (plan.direct_first || plan.direct_last) {
             ++calls;
-            note_failure(ways, false, now);
+            record_failure(paths, false, now);
         }
         if (plan.peers) {
-            calls += 2; // each of two peers passes it on
-            note_failure(ways, true, now);
+            calls += 2; // each of two peers relays it
+            record_failure(paths, true, now);
         }
-        now += pause_after(ways, store_pause_most, middle);
+        now += pause_after(paths, store_pause_most, no_jitter);
     }
     return calls;
 }
 
 } // namespace
 
-TEST_CASE("calls to a store that answers nobody become few", "[front][store][storm]") {
-    // Guards against a storm: every try went over both ways, three calls each 150 ms.
-    CHECK(calls_in(9s) <= 30);
-    CHECK(calls_in(9s) >= 5);
+TEST_CASE("calls to an unavailable store back off", "[front][store][storm]") {
+    // Failure: a storm of calls, because every attempt used both paths: three calls each 150 ms.
+    CHECK(calls_during(9s) <= 30);
+    CHECK(calls_during(9s) >= 5);
 }
 
-TEST_CASE("a host that alone is turned away goes through its peers", "[front][store]") {
-    store_ways ways;
-    note_failure(ways, false, start);
-    const auto plan = plan_ways(ways, false, start + 100ms);
+TEST_CASE("a host that alone is rejected calls the store through peers", "[front][store]") {
+    store_paths paths;
+    record_failure(paths, false, start);
+    const auto plan = plan_paths(paths, false, start + 100ms);
     CHECK(plan.peers);
     CHECK_FALSE(plan.direct_first);
     CHECK(plan.direct_last);
-    note_answer(ways, true, start + 120ms);
-    CHECK(pause_after(ways, store_pause_most, middle) == first_store_pause);
+    record_response(paths, true, start + 120ms);
+    CHECK(pause_after(paths, store_pause_most, no_jitter) == initial_store_delay);
 }
 
-TEST_CASE("the direct way is tried again after a second", "[front][store]") {
-    store_ways ways;
-    note_failure(ways, false, start);
-    CHECK(plan_ways(ways, true, start + 1s).direct_first);
-    note_answer(ways, false, start + 1s);
-    CHECK(plan_ways(ways, true, start + 1s).direct_first);
+TEST_CASE("the direct path is tried again after a second", "[front][store]") {
+    store_paths paths;
+    record_failure(paths, false, start);
+    CHECK(plan_paths(paths, true, start + 1s).direct_first);
+    record_response(paths, false, start + 1s);
+    CHECK(plan_paths(paths, true, start + 1s).direct_first);
 }
 
-TEST_CASE("a long call takes one way only", "[front][store]") {
-    store_ways ways;
-    CHECK_FALSE(plan_ways(ways, true, start).peers);
-    note_failure(ways, false, start);
-    const auto plan = plan_ways(ways, true, start + 10ms);
+TEST_CASE("a long poll uses only one path", "[front][store]") {
+    store_paths paths;
+    CHECK_FALSE(plan_paths(paths, true, start).peers);
+    record_failure(paths, false, start);
+    const auto plan = plan_paths(paths, true, start + 10ms);
     CHECK(plan.peers);
     CHECK_FALSE(plan.direct_last);
 }
 
-TEST_CASE("calls that fail together count as one spell", "[front][store]") {
-    // Guards against the longest pause after the first lost answer of a host that follows four
-    // kinds of objects.
-    store_ways ways;
+TEST_CASE("calls that fail together count as one failure", "[front][store]") {
+    // Guards against the longest backoff delay right after the first lost response of a host that
+    // watches four kinds of objects.
+    store_paths paths;
     for (int call = 0; call < 4; ++call) {
-        note_failure(ways, false, start + call * 10ms);
+        record_failure(paths, false, start + call * 10ms);
     }
-    CHECK(pause_after(ways, store_pause_most, middle) == first_store_pause);
-    note_failure(ways, false, start + 200ms);
-    CHECK(pause_after(ways, store_pause_most, middle) == 2 * first_store_pause);
+    CHECK(pause_after(paths, store_pause_most, no_jitter) == initial_store_delay);
+    record_failure(paths, false, start + 200ms);
+    CHECK(pause_after(paths, store_pause_most, no_jitter) == 2 * initial_store_delay);
 }
 
-TEST_CASE("pauses differ between hosts and stay bounded", "[front][store]") {
-    store_ways ways;
-    for (int spell = 0; spell < 40; ++spell) {
-        note_failure(ways, false, start + spell * 1s);
+TEST_CASE("backoff delays differ between hosts and stay bounded", "[front][store]") {
+    store_paths paths;
+    for (int failure = 0; failure < 40; ++failure) {
+        record_failure(paths, false, start + failure * 1s);
     }
-    CHECK(pause_after(ways, store_pause_most, 0) < pause_after(ways, store_pause_most, 1));
-    CHECK(pause_after(ways, store_pause_most, 1) <= store_pause_most * 5 / 4);
-    CHECK(pause_after(ways, store_pause_awaited, 1) <= store_pause_awaited * 5 / 4);
+    CHECK(pause_after(paths, store_pause_most, 0) < pause_after(paths, store_pause_most, 1));
+    CHECK(pause_after(paths, store_pause_most, 1) <= store_pause_most * 5 / 4);
+    CHECK(pause_after(paths, store_pause_awaited, 1) <= store_pause_awaited * 5 / 4);
 }
 
-TEST_CASE("an answer that a peer has passed on does not prove the direct way",
-          "[front][store][cut]") {
-    // Guards against a host that is cut off, renews its news through a peer, and goes on feeding
-    // its zone what its silent watches last said.
-    store_ways ways;
-    note_answer(ways, false, start);
-    note_failure(ways, false, start + 1s);
-    note_answer(ways, true, start + 2s);
-    CHECK(ways.last_direct == start);
+TEST_CASE("a relayed response does not show that the direct path works", "[front][store][cut]") {
+    // Guards against a feeder that is cut off from the store, gets a response through a peer and
+    // keeps serving its zone the stale data of its silent watches.
+    store_paths paths;
+    record_response(paths, false, start);
+    record_failure(paths, false, start + 1s);
+    record_response(paths, true, start + 2s);
+    CHECK(paths.last_direct_response == start);
 }
