--- a/src/front/batch.cpp
+++ b/src/front/batch.cpp
@@ -7,53 +7,53 @@
 
 namespace {
 
-/// Names, versions and punctuation of a result or partial text.
-constexpr std::size_t bytes_per_record = 400;
-/// Assumed when the caller gives neither hint nor bound.
-constexpr double unknown_tokens = 500;
-
-/// Groups all of whose items are among the given ones.
-int count_groups(const batch& one, bool with_waiting) {
-    std::map<std::string_view, int> missing;
-    for (const auto& item : one.spec.items) {
-        ++missing[item.group];
-    }
-    const auto take = [&](const item_result& result) {
-        const auto found = one.index.find(result.id);
-        if (found != one.index.end()) {
-            --missing[one.spec.items[found->second].group];
+/// Size of a result or partial output without its texts: names, versions and JSON punctuation.
+constexpr std::size_t record_overhead_bytes = 400;
+/// Used when the caller gives neither an estimate nor a limit.
+constexpr double default_expected_tokens = 500;
+
+/// Number of groups whose items all have a result.
+int count_groups(const batch& batch, bool include_unlogged) {
+    std::map<std::string_view, int> unfinished_items;
+    for (const auto& item : batch.spec.items) {
+        ++unfinished_items[item.group];
+    }
+    const auto count_result = [&](const item_result& result) {
+        const auto found = batch.index.find(result.id);
+        if (found != batch.index.end()) {
+            --unfinished_items[batch.spec.items[found->second].group];
         }
     };
-    std::ranges::for_each(one.listed, take);
-    if (with_waiting) {
-        std::ranges::for_each(one.waiting, take);
+    std::ranges::for_each(batch.listed, count_result);
+    if (include_unlogged) {
+        std::ranges::for_each(batch.waiting, count_result);
     }
-    return static_cast<int>(
-        std::ranges::count_if(missing, [](const auto& group) { return group.second == 0; }));
+    return static_cast<int>(std::ranges::count_if(
+        unfinished_items, [](const auto& group) { return group.second == 0; }));
 }
 
-void list_result(batch& one, const item_result& result) {
-    const auto found = one.index.find(result.id);
-    const auto is_it = [&](const item_result& other) { return other.id == result.id; };
-    if (found == one.index.end() || std::ranges::any_of(one.listed, is_it)) {
+void add_result(batch& batch, const item_result& result) {
+    const auto found = batch.index.find(result.id);
+    const auto has_same_id = [&](const item_result& other) { return other.id == result.id; };
+    if (found == batch.index.end() || std::ranges::any_of(batch.listed, has_same_id)) {
         return;
     }
-    auto& item = one.items[found->second];
+    auto& item = batch.items[found->second];
     item.phase = item_phase::finished;
     item.done = {};
-    std::erase_if(one.waiting, is_it);
-    one.listed.push_back(result);
+    std::erase_if(batch.waiting, has_same_id);
+    batch.listed.push_back(result);
 }
 
-void take_partial(batch& one, std::string_view id, const partial_text& partial) {
-    const auto found = one.index.find(id);
-    if (found == one.index.end()) {
+void apply_partial(batch& batch, std::string_view id, const partial_text& partial) {
+    const auto found = batch.index.find(id);
+    if (found == batch.index.end()) {
         return;
     }
-    auto& item = one.items[found->second];
-    item.saved_event = std::max(item.saved_event, partial.last_event);
-    const bool more = partial.whole || partial.last_event > item.done.last_event;
-    if (item.phase == item_phase::waiting && more) {
+    auto& item = batch.items[found->second];
+    item.last_logged_event = std::max(item.last_logged_event, partial.last_event);
+    const bool is_newer = partial.whole || partial.last_event > item.done.last_event;
+    if (item.phase == item_phase::waiting && is_newer) {
         item.done = partial;
     }
 }
@@ -66,103 +66,104 @@
     out.spec = std::move(spec);
     out.submitted = submitted;
     out.items.resize(out.spec.items.size());
-    for (std::size_t at = 0; at < out.spec.items.size(); ++at) {
-        out.index.emplace(out.spec.items[at].id, at);
+    for (std::size_t index = 0; index < out.spec.items.size(); ++index) {
+        out.index.emplace(out.spec.items[index].id, index);
     }
     return out;
 }
 
-bool is_outdated(std::size_t listed, std::size_t position) {
-    return position > listed;
+bool is_outdated(std::size_t known_results, std::size_t position) {
+    return position > known_results;
 }
 
 bool is_visible(const batch_header& header, std::string_view account) {
     return header.account.empty() || header.account == account;
 }
 
-bool is_over(const batch& one) {
-    return one.ended || one.listed.size() == one.spec.items.size();
+bool is_over(const batch& batch) {
+    return batch.ended || batch.listed.size() == batch.spec.items.size();
 }
 
-bool apply_entry(batch& one, std::uint64_t number, const log_entry& entry) {
-    if (number != one.next_entry) {
+bool apply_entry(batch& batch, std::uint64_t number, const log_entry& entry) {
+    if (number != batch.next_entry) {
         return false;
     }
     std::ranges::for_each(entry.results,
-                          [&](const item_result& result) { list_result(one, result); });
+                          [&](const item_result& result) { add_result(batch, result); });
     for (const auto& [id, partial] : entry.partials) {
-        take_partial(one, id, partial);
+        apply_partial(batch, id, partial);
     }
-    one.ended = one.ended || entry.ends;
+    batch.ended = batch.ended || entry.ends;
     if (!entry.new_owner.empty()) {
-        one.header.owner = entry.new_owner;
-        one.header.owner_at = entry.new_owner_at;
+        batch.header.owner = entry.new_owner;
+        batch.header.owner_at = entry.new_owner_at;
     }
-    ++one.next_entry;
+    ++batch.next_entry;
     return true;
 }
 
-void finish_item(batch& one, item_result result, time_point now) {
-    const auto found = one.index.find(result.id);
-    auto& item = one.items[found->second];
+void finish_item(batch& batch, item_result result, time_point now) {
+    const auto found = batch.index.find(result.id);
+    auto& item = batch.items[found->second];
     item.phase = item_phase::finished;
     item.done = {};
-    if (one.waiting.empty()) {
-        one.oldest_waiting = now;
+    if (batch.waiting.empty()) {
+        batch.oldest_unlogged_since = now;
     }
-    one.waiting.push_back(std::move(result));
+    batch.waiting.push_back(std::move(result));
 }
 
-int complete_groups(const batch& one, bool with_waiting) {
-    return count_groups(one, with_waiting);
+int complete_groups(const batch& batch, bool include_unlogged) {
+    return count_groups(batch, include_unlogged);
 }
 
-std::optional<time_point> next_flush(const batch& one, const flush_rules& rules,
+std::optional<time_point> next_flush(const batch& batch, const flush_rules& policy,
                                      time_point deadline) {
-    if (one.waiting.empty()) {
+    if (batch.waiting.empty()) {
         return std::nullopt;
     }
-    const auto with_these = complete_groups(one, true);
-    const bool step_done = with_these >= one.spec.groups_wanted;
-    const bool all_done = one.listed.size() + one.waiting.size() == one.spec.items.size();
-    const auto soonest = one.last_flush + rules.hurry_gap;
+    const auto complete = complete_groups(batch, true);
+    const bool step_done = complete >= batch.spec.groups_wanted;
+    const bool all_done = batch.listed.size() + batch.waiting.size() == batch.spec.items.size();
+    const auto earliest = batch.last_flush + policy.urgent_interval;
     if (step_done || all_done) {
-        return soonest;
+        return earliest;
     }
-    const auto calm = std::max(one.last_flush, one.oldest_waiting) + rules.calm_gap;
-    const auto hurried = std::max(soonest, deadline - rules.due_soon);
-    return std::min(calm, hurried);
+    const auto normal =
+        std::max(batch.last_flush, batch.oldest_unlogged_since) + policy.normal_interval;
+    const auto urgent = std::max(earliest, deadline - policy.deadline_margin);
+    return std::min(normal, urgent);
 }
 
-void add_partials(log_entry& entry, const batch& one, std::int64_t events_least,
-                  std::size_t bytes_most) {
+void add_partials(log_entry& entry, const batch& batch, std::int64_t min_events,
+                  std::size_t max_bytes) {
     std::size_t bytes = 0;
-    for (std::size_t at = 0; at < one.items.size(); ++at) {
-        const auto& item = one.items[at];
-        const bool grown = item.done.last_event - item.saved_event >= events_least;
+    for (std::size_t index = 0; index < batch.items.size(); ++index) {
+        const auto& item = batch.items[index];
+        const bool has_grown = item.done.last_event - item.last_logged_event >= min_events;
         if (item.phase == item_phase::finished || item.done.last_event == 0 ||
-            !(grown || item.done.whole)) {
+            !(has_grown || item.done.whole)) {
             continue;
         }
-        bytes += item.done.text.size() + bytes_per_record;
-        if (bytes > bytes_most / 4) {
+        bytes += item.done.text.size() + record_overhead_bytes;
+        if (bytes > max_bytes / 4) {
             break;
         }
-        entry.partials.insert_or_assign(one.spec.items[at].id, item.done);
+        entry.partials.insert_or_assign(batch.spec.items[index].id, item.done);
     }
 }
 
-log_entry next_entry(const batch& one, std::size_t bytes_most) {
+log_entry next_entry(const batch& batch, std::size_t max_bytes) {
     log_entry out;
     std::size_t bytes = 0;
-    for (const auto& result : one.waiting) {
-        bytes += result.text.size() + result.score.size() + bytes_per_record;
-        if (bytes > bytes_most / 2 && !out.results.empty()) {
+    for (const auto& result : batch.waiting) {
+        bytes += result.text.size() + result.score.size() + record_overhead_bytes;
+        if (bytes > max_bytes / 2 && !out.results.empty()) {
             break;
         }
         out.results.push_back(result);
     }
-    add_partials(out, one, events_worth_saving, bytes_most);
+    add_partials(out, batch, min_events_to_save, max_bytes);
     return out;
 }
 
@@ -170,20 +171,22 @@
     if (item.tokens_out_hint > 0) {
         return item.tokens_out_hint;
     }
-    return item.tokens_out_most > 0 ? item.tokens_out_most : unknown_tokens;
+    return item.tokens_out_most > 0 ? item.tokens_out_most : default_expected_tokens;
 }
 
-std::vector<std::size_t> startable(const batch& one, time_point now) {
+std::vector<std::size_t> startable(const batch& batch, time_point now) {
     std::vector<std::size_t> out;
-    for (std::size_t at = 0; at < one.items.size(); ++at) {
-        if (one.items[at].phase == item_phase::waiting && one.items[at].not_before <= now) {
-            out.push_back(at);
+    for (std::size_t index = 0; index < batch.items.size(); ++index) {
+        if (batch.items[index].phase == item_phase::waiting &&
+            batch.items[index].not_before <= now) {
+            out.push_back(index);
         }
     }
-    const auto rank = [&](std::size_t at) {
-        return std::pair(one.items[at].done.last_event > 0, expected_tokens(one.spec.items[at]));
+    const auto priority = [&](std::size_t index) {
+        return std::pair(batch.items[index].done.last_event > 0,
+                         expected_tokens(batch.spec.items[index]));
     };
-    std::ranges::stable_sort(out, std::greater{}, rank);
+    std::ranges::stable_sort(out, std::greater{}, priority);
     return out;
 }
 
--- a/src/front/batch_hand_over.cpp
+++ b/src/front/batch_hand_over.cpp
@@ -10,61 +10,64 @@
 
 namespace {
 
-/// When a process ends, a batch whose hand-over takes longer than this is left to its readers.
-constexpr milliseconds hand_over_patience{1500};
+/// A batch that can't be handed over within this time is taken over by the next host at which a
+/// caller reads it.
+constexpr milliseconds hand_over_timeout{1500};
 
-/// The peer that takes the batches: of this zone if there is any, and of these one of the quickest.
-std::optional<host_entry> choose_heir(host& self) {
-    std::vector<host_entry> near;
-    std::vector<host_entry> far;
+/// Chooses a peer to take a batch over: in this zone if there is one, and among these one with the
+/// most processor time.
+std::optional<host_entry> choose_new_owner(host& self) {
+    std::vector<host_entry> same_zone;
+    std::vector<host_entry> other_zones;
     for (const auto& [name, peer] : self.peers) {
-        (peer.zone == self.settings.zone ? near : far).push_back(peer);
+        (peer.zone == self.settings.zone ? same_zone : other_zones).push_back(peer);
     }
-    auto& from = near.empty() ? far : near;
-    if (from.empty()) {
+    auto& candidates = same_zone.empty() ? other_zones : same_zone;
+    if (candidates.empty()) {
         return std::nullopt;
     }
-    std::ranges::shuffle(from, self.random);
-    return *std::ranges::max_element(from, {}, &host_entry::processor);
+    std::ranges::shuffle(candidates, self.random);
+    return *std::ranges::max_element(candidates, {}, &host_entry::processor);
 }
 
-loop::task<void> hand_over(std::shared_ptr<batch_desk> desk, live_batch_ptr one) {
-    auto self = desk->self;
-    const auto heir = choose_heir(*self);
-    if (!heir) {
+loop::task<void> hand_over(std::shared_ptr<batch_desk> registry, live_batch_ptr batch) {
+    auto self = registry->self;
+    const auto successor = choose_new_owner(*self);
+    if (!successor) {
         co_return;
     }
-    auto message = peer_call(adopt_path, one->state.header.id);
-    const auto make = [heir](const live_batch& now) -> std::optional<log_entry> {
-        if (!now.owned) {
+    auto adopt_request = peer_call(adopt_path, batch->state.header.id);
+    const auto build_entry = [successor](const live_batch& current) -> std::optional<log_entry> {
+        if (!current.owned) {
             return std::nullopt;
         }
-        auto entry = next_entry(now.state, now.self->settings.value_bytes);
-        add_partials(entry, now.state, 1, now.self->settings.value_bytes);
-        entry.new_owner = heir->name;
-        entry.new_owner_at = heir->where;
+        auto entry = next_entry(current.state, current.self->settings.value_bytes);
+        add_partials(entry, current.state, 1, current.self->settings.value_bytes);
+        entry.new_owner = successor->name;
+        entry.new_owner_at = successor->where;
         return entry;
     };
-    // The runs stop first: what is handed over must not go on here.
-    one->handing_over = true;
-    stop_runs(*one);
-    const bool stored = co_await append_entry(one, make, self->now() + hand_over_patience);
-    one->handing_over = false;
+    // Stop the runs first: items must not run here after the new owner has started them.
+    batch->handing_over = true;
+    stop_runs(*batch);
+    const bool stored = co_await append_entry(batch, build_entry, self->now() + hand_over_timeout);
+    batch->handing_over = false;
     if (!stored) {
         co_return;
     }
-    desk->owners.insert_or_assign(one->state.header.id, heir->where);
-    co_await loop::call(self->connections, heir->where, std::move(message),
-                        loop::after(hand_over_patience), owner_connect);
+    registry->owners.insert_or_assign(batch->state.header.id, successor->where);
+    co_await loop::call(self->connections, successor->where, std::move(adopt_request),
+                        loop::after(hand_over_timeout), owner_connect);
 }
 
 } // namespace
 
-void hand_over_all(const std::shared_ptr<batch_desk>& desk) {
-    drop_unstored(*desk);
-    for (const auto& [id, one] : desk->known) {
-        if (one->owned && !is_over(one->state)) {
-            loop::asio::co_spawn(desk->self->io, hand_over(desk, one), loop::asio::detached);
+void hand_over_all(const std::shared_ptr<batch_desk>& registry) {
+    drop_unstored(*registry);
+    for (const auto& [id, batch] : registry->known) {
+        if (batch->owned && !is_over(batch->state)) {
+            loop::asio::co_spawn(registry->self->io, hand_over(registry, batch),
+                                 loop::asio::detached);
         }
     }
 }
--- a/src/front/batch_hand_over.hpp
+++ b/src/front/batch_hand_over.hpp
@@ -6,7 +6,7 @@
 
 namespace cornelloom::front {
 
-/// Hands all batches to peers before this process ends.
-void hand_over_all(const std::shared_ptr<batch_desk>& desk);
+/// Transfers the ownership of all batches to peers before this process ends.
+void hand_over_all(const std::shared_ptr<batch_desk>& registry);
 
 } // namespace cornelloom::front
--- a/src/front/batch_log.hpp
+++ b/src/front/batch_log.hpp
@@ -8,37 +8,40 @@
 
 namespace cornelloom::front {
 
-/// Stores a submission before it is accepted: its parts, then the header that makes it exist. Tries
-/// until `until`. `conflict` means that it exists already, which is as good.
+/// Stores a submission before it is accepted: first its parts, then the header. The batch exists
+/// once the header does. Retries until `deadline`. `conflict` means that the batch was stored
+/// before and counts as success.
 loop::task<store_fault> store_batch(std::shared_ptr<host> self, batch_header header,
-                                    std::string_view submission, time_point until);
+                                    std::string_view submission, time_point deadline);
 
-/// What became of loading a batch.
+/// Result of loading a batch.
 struct loaded_batch {
-    live_batch_ptr batch{}; ///< Null if there is none, or the store can't tell.
-    bool missing = false;   ///< The store says that no such batch exists.
+    live_batch_ptr batch{}; ///< Null if it does not exist or could not be read.
+    bool missing = false;   ///< The store states that no such batch exists.
 };
 
-/// What the store says of a batch's header.
+/// Result of reading a batch's header.
 struct read_header_result {
-    std::optional<batch_header> header{}; ///< Nothing if there is none, or the store can't tell.
-    bool missing = false;                 ///< The store says that no such batch exists.
+    std::optional<batch_header> header{}; ///< Nothing if it does not exist or could not be read.
+    bool missing = false;                 ///< The store states that no such batch exists.
 };
 
-/// Reads only the header, which tells the batch's first owner: one small call.
+/// Reads only the header, which names the batch's first owner, in one small call to the store.
 loop::task<read_header_result> read_header(std::shared_ptr<host> self, std::string id);
 
-/// Reads a batch and its whole log.
+/// Reads a batch with its whole log.
 loop::task<loaded_batch> load_batch(std::shared_ptr<host> self, std::string id);
 
-/// Reads what was added to the log since. False if the store can't tell.
-loop::task<bool> catch_up(live_batch_ptr one);
+/// Reads and applies the entries that were appended since the log was last read. False if the end
+/// of the log could not be reached.
+loop::task<bool> catch_up(live_batch_ptr batch);
 
-/// What an entry that is to be appended should hold, asked again after others have written.
-using entry_maker = std::function<std::optional<log_entry>(const live_batch&)>;
+/// Builds the entry to append, or nothing if it is no longer wanted. Called again whenever another
+/// entry was appended first.
+using entry_builder = std::function<std::optional<log_entry>(const live_batch&)>;
 
-/// Appends an entry, behind whatever others append meanwhile. `make` gives nothing when the entry
-/// is no longer wanted. Tries until `until`; false if the entry is not known to be stored by then.
-loop::task<bool> append_entry(live_batch_ptr one, entry_maker make, time_point until);
+/// Appends an entry to the log, after any entries that other writers append meanwhile. Retries
+/// until `deadline`; false if the entry is not known to be stored by then or is no longer wanted.
+loop::task<bool> append_entry(live_batch_ptr batch, entry_builder build_entry, time_point deadline);
 
 } // namespace cornelloom::front
--- a/src/front/batch_start.hpp
+++ b/src/front/batch_start.hpp
@@ -5,52 +5,54 @@
 
 namespace cornelloom::front {
 
-/// Starting batches on the host that runs them. The host that takes a submission in stores it, and
-/// tells the runner at once; the runner begins with the items meanwhile.
+/// Starts batches on the hosts that run them. The host that receives a submission stores it and
+/// forwards it to the runner at the same time, so that the runner can start the items meanwhile.
 
-/// The host that should run a batch which is submitted here: the one of the zone with the most
-/// processor time, this one if that is unknown.
+/// Chooses the host that runs a batch submitted here: the one with the most processor time in this
+/// zone, or this host if none is known.
 ///
-/// Load it is made for: steps of some hundred streams, submitted to any of ten small hosts of a
-/// zone. On a tenth of a core their events are read late; and a host that runs one step a minute
-/// opens a connection for each item, where one that runs all of its zone's keeps them between
-/// steps.
+/// A step has hundreds of streams and may be submitted to any of ten small hosts in a zone. A host
+/// with a tenth of a core would read their events late. A host that runs only one step a minute
+/// would also open a new connection for each item, whereas a host that runs all steps of its zone
+/// reuses them.
 [[nodiscard]] host_entry choose_runner(host& self);
 
-/// How an early start has gone, as the host that stores the batch knows it.
+/// State of an early start, on the host that stores the batch.
 struct early_start {
     explicit early_start(loop::io_context& io) : answered(io) {}
 
-    enum class state { asked, declined, begun, unknown };
-    state now = state::asked;
-    loop::gate answered; ///< Opened when it is not `asked` any more.
+    enum class phase { requested, declined, running, unknown };
+    phase current_phase = phase::requested;
+    loop::gate answered; ///< Opened when the runner has answered or can't be reached.
 };
 
 using early_start_ptr = std::shared_ptr<early_start>;
 
-/// Asks the batch's runner to begin before the batch is stored.
-[[nodiscard]] early_start_ptr ask_early_start(const std::shared_ptr<batch_desk>& desk,
+/// Asks the batch's runner to start the items before the batch is stored.
+[[nodiscard]] early_start_ptr ask_early_start(const std::shared_ptr<batch_desk>& registry,
                                               const batch_header& header,
                                               const std::string& submission);
 
-/// The batch is stored: its runner goes on, or begins now. `stored` is `none` when this submission
-/// stored it, `conflict` when an earlier one did, perhaps with another runner.
-loop::task<void> confirm_start(std::shared_ptr<batch_desk> desk, batch_header header,
+/// Tells the runner that the batch is stored, so that it continues, or starts if it has not yet.
+/// `stored` is `none` if this submission stored the batch, and `conflict` if an earlier one did,
+/// perhaps with another runner.
+loop::task<void> confirm_start(std::shared_ptr<batch_desk> registry, batch_header header,
                                std::string submission, early_start_ptr early, store_fault stored);
 
-/// The batch could not be stored: its runner stops.
-loop::task<early_outcome> withdraw_start(std::shared_ptr<batch_desk> desk, batch_header header,
+/// Tells the runner to stop because the batch could not be stored.
+loop::task<early_outcome> withdraw_start(std::shared_ptr<batch_desk> registry, batch_header header,
                                          early_start_ptr early);
 
-/// Paths of the calls on a batch's runner.
+/// Path prefix of the calls to a batch's runner; the action follows.
 inline constexpr std::string_view start_path = "/batches/start/";
-/// The header of a call that holds the batch's record; the body is the submission.
+/// Request header with the batch's encoded header; the body is the submission.
 inline constexpr std::string_view record_header = "Cornelloom-Batch";
 
-/// Serves such a call; the status of the answer.
-loop::task<int> serve_start_call(std::shared_ptr<batch_desk> desk, transport::http_request message);
+/// Serves a call to the runner and returns the status of its response.
+loop::task<int> serve_start_call(std::shared_ptr<batch_desk> registry,
+                                 transport::http_request message);
 
-/// Batches that are not stored yet end here: this process stops.
-void drop_unstored(batch_desk& desk);
+/// Stops and forgets all batches that are not stored yet, because this process ends.
+void drop_unstored(batch_desk& registry);
 
 } // namespace cornelloom::front
--- a/src/front/early_start.cpp
+++ b/src/front/early_start.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-constexpr milliseconds default_storing_time{6000};
-/// Left to tell the caller before it gives up.
-constexpr milliseconds answer_time{250};
+constexpr milliseconds default_storage_timeout{6000};
+/// Reserved to send the response before the caller's timeout.
+constexpr milliseconds response_margin{250};
 
 } // namespace
 
-bool may_start_early(const early_facts& facts) {
-    return !facts.known && !facts.owner_known && !facts.stopping &&
-           facts.running_for >= early_start_age;
+bool may_start_early(const early_start_conditions& conditions) {
+    return !conditions.known && !conditions.owner_known && !conditions.stopping &&
+           conditions.uptime >= min_uptime_for_early_start;
 }
 
 submission_answer judge_submission(store_fault stored, early_outcome early) {
@@ -25,11 +25,11 @@
     return not_run ? submission_answer::refuse : submission_answer::fail;
 }
 
-milliseconds storing_time(std::optional<milliseconds> caller_waits) {
-    if (!caller_waits) {
-        return default_storing_time;
+milliseconds storing_time(std::optional<milliseconds> caller_timeout) {
+    if (!caller_timeout) {
+        return default_storage_timeout;
     }
-    return std::max(*caller_waits - answer_time, milliseconds(0));
+    return std::max(*caller_timeout - response_margin, milliseconds(0));
 }
 
 } // namespace cornelloom::front
--- a/src/front/live_batch.hpp
+++ b/src/front/live_batch.hpp
@@ -12,49 +12,49 @@
 
 namespace cornelloom::front {
 
-/// An item that is at a target now.
+/// An item that is running at a target.
 struct item_run {
     std::shared_ptr<loop::exchange> link;
     std::string target;
     time_point sent{};
-    time_point first_event{}; ///< Zero before the first.
-    time_point last_event{};  ///< When the newest event came; `sent` before the first.
-    std::int64_t events = 0;  ///< In this run.
-    bool moving = false;      ///< It was told to stop, to go on elsewhere.
+    time_point first_event{}; ///< Zero before the first event.
+    time_point last_event{};  ///< Arrival of the latest event; `sent` before the first.
+    std::int64_t events = 0;  ///< Received in this run.
+    bool moving = false;      ///< It is being stopped, to continue at another target.
 };
 
-/// A batch with all that goes on around it in this process.
+/// A batch that is loaded in this process, with its runs and pending calls.
 struct live_batch {
-    live_batch(std::shared_ptr<host> owner, batch known)
-        : self(std::move(owner)), state(std::move(known)), changed(self->io) {}
+    live_batch(std::shared_ptr<host> this_host, batch loaded)
+        : self(std::move(this_host)), state(std::move(loaded)), changed(self->io) {}
 
     std::shared_ptr<host> self;
     batch state;
-    loop::gate changed;        ///< Opened when results are listed, runs end or the owner changes.
+    loop::gate changed;        ///< Opened when results are added, runs end or the owner changes.
     bool owned = false;        ///< This process runs its items.
-    bool stored = true;        ///< False while another host stores it and this one runs it already.
-    bool handing_over = false; ///< Its runs are stopped; another host goes on with them.
+    bool stored = true;        ///< False after an early start, until the batch is stored.
+    bool handing_over = false; ///< The runs are stopped, to continue on another host.
     bool appending = false;    ///< An entry of its log is being written.
     std::map<std::size_t, item_run> runs{};                          ///< By the item's index.
     std::map<std::size_t, std::shared_ptr<call_control>> scorings{}; ///< By the item's index.
-    time_point used{};        ///< When a caller last asked for it.
-    log_knowledge log{};      ///< How much is known of what others have appended.
-    bool reading_log = false; ///< The drive reads the log.
-    bool held = false;        ///< No item is sent: the log may be longer than known.
+    time_point used{};        ///< Last call of a caller on it.
+    log_knowledge log{};      ///< How recent this host's copy of the log is.
+    bool reading_log = false; ///< The task that drives the batch is reading the log.
+    bool held = false;        ///< No item is sent: the log may have entries unknown here.
 };
 
 using live_batch_ptr = std::shared_ptr<live_batch>;
 
-/// The route that the batch came in on, or null when the configuration has none now.
-[[nodiscard]] const route* route_of(const live_batch& one);
+/// The route on which the batch was submitted; null if the current configuration has none.
+[[nodiscard]] const route* route_of(const live_batch& batch);
 
-/// The same for one of its items.
-[[nodiscard]] const route* route_of_item(const live_batch& one, const batch_item& item);
+/// The route of one of its items; null if the current configuration has none.
+[[nodiscard]] const route* route_of_item(const live_batch& batch, const batch_item& item);
 
-/// Whether its items, and the calls that give their scores, may be sent to targets.
-[[nodiscard]] bool may_send_items(const live_batch& one);
+/// Whether its items and their scoring calls may be sent to targets.
+[[nodiscard]] bool may_send_items(const live_batch& batch);
 
 /// When the results of the batch are due.
-[[nodiscard]] time_point deadline_of(const live_batch& one);
+[[nodiscard]] time_point deadline_of(const live_batch& batch);
 
 } // namespace cornelloom::front
--- a/src/front/log_knowledge.cpp
+++ b/src/front/log_knowledge.cpp
@@ -4,23 +4,23 @@
 
 namespace {
 
-/// What a question to the store and its answer may take while the batch goes on, as a part of the
-/// time within which an end must be known.
-constexpr int reads_in_cancel = 2;
-/// The store answers within a quarter of a second when it is slow.
-constexpr milliseconds answer_most{700};
-/// An item needs a new connection and a round trip to its target.
-constexpr milliseconds way_to_target{500};
+/// The log is read this often within the period in which an owner must learn of the batch's end, so
+/// that the batch goes on while a read is in progress.
+constexpr int reads_per_cancel_period = 2;
+/// Above this the store counts as unavailable; a slow store answers within 250 ms.
+constexpr milliseconds max_store_latency{700};
+/// Time for an item to reach its target: a new connection and a round trip.
+constexpr milliseconds target_latency{500};
 
 } // namespace
 
 bool is_log_due(const log_knowledge& log, time_point now, milliseconds cancel) {
-    return now - log.confirmed >= cancel / reads_in_cancel;
+    return now - log.confirmed >= cancel / reads_per_cancel_period;
 }
 
 bool may_send_items(const log_knowledge& log, time_point now, milliseconds cancel) {
-    const bool unanswered = log.asked != time_point{} && now - log.asked > answer_most;
-    return log.unavailable || unanswered || now - log.confirmed < cancel - way_to_target;
+    const bool unanswered = log.asked != time_point{} && now - log.asked > max_store_latency;
+    return log.unavailable || unanswered || now - log.confirmed < cancel - target_latency;
 }
 
 } // namespace cornelloom::front
--- a/src/front/log_knowledge.hpp
+++ b/src/front/log_knowledge.hpp
@@ -5,26 +5,25 @@
 
 namespace cornelloom::front {
 
-/// What the owner of a batch may do by what it knows of the batch's log.
-///
-/// Load it is made for: a host that was taken for lost while it was short of processor time, or cut
-/// off. Others have taken its batch over and its caller has ended it, at hosts that can't reach
-/// this one. Reads that still come here say nothing of that: only the log does.
-
 using kernel::time_point;
 
+/// How recent an owner's copy of a batch's log is, which decides whether it may still send items.
+///
+/// A host that is starved of processor time or partitioned may be considered lost. Another host
+/// then takes its batch over, and the caller may end the batch at a host that can't reach this one.
+/// Reads that still arrive here do not show that; only the log does.
 struct log_knowledge {
-    time_point confirmed{};   ///< The log was known to its end then; zero: never.
-    bool unavailable = false; ///< The store did not answer the newest question for it.
-    time_point asked{};       ///< When the question was sent that has no answer yet; zero: none.
+    time_point confirmed{};   ///< All entries of the log were known at this time; zero: never.
+    bool unavailable = false; ///< The store did not answer the latest read of the log.
+    time_point asked{};       ///< When the unanswered read of the log was sent; zero: none.
 };
 
-/// Whether the log should be read again. `cancel`: items of a batch that was ended reach no target
-/// later than this.
+/// Whether the log should be read again. `cancel`: items of an ended batch must not reach a target
+/// later than this after its end.
 [[nodiscard]] bool is_log_due(const log_knowledge& log, time_point now, milliseconds cancel);
 
-/// Whether items may be sent to targets. While the store does not answer, no end is accepted
-/// either, so the batch goes on.
+/// Whether items may be sent to targets. While the store does not answer, no host can accept the
+/// end of a batch either, so the batch goes on.
 [[nodiscard]] bool may_send_items(const log_knowledge& log, time_point now, milliseconds cancel);
 
 } // namespace cornelloom::front
--- a/src/front/records.cpp
+++ b/src/front/records.cpp
@@ -8,8 +8,8 @@
 
 using json = nlohmann::json;
 
-kernel::error bad(std::string_view what) {
-    return {kernel::error_code::invalid_input, std::string(what)};
+kernel::error invalid_input_error(std::string_view detail) {
+    return {kernel::error_code::invalid_input, std::string(detail)};
 }
 
 std::string dump(const json& value) {
@@ -42,18 +42,19 @@
     return out;
 }
 
-/// The library reports a field that is missing or of another type by an exception.
-template <class Read>
-auto guarded(std::string_view what, Read read) -> kernel::result<decltype(read())> {
+/// Turns the exception that the JSON library throws for a missing or mistyped field into an error.
+template <class Decode>
+auto catch_json_errors(std::string_view record_kind, Decode decode)
+    -> kernel::result<decltype(decode())> {
     try {
-        return read();
-    } catch (const json::exception& fault) {
-        return bad(std::string(what) + ": " + fault.what());
+        return decode();
+    } catch (const json::exception& json_error) {
+        return invalid_input_error(std::string(record_kind) + ": " + json_error.what());
     }
 }
 
-transport::endpoint endpoint_of(const json& value, const char* name) {
-    const auto parsed = transport::parse_endpoint(value.at(name).get<std::string>());
+transport::endpoint decode_endpoint(const json& value, const char* field) {
+    const auto parsed = transport::parse_endpoint(value.at(field).get<std::string>());
     return parsed ? parsed.value() : transport::endpoint{};
 }
 
@@ -70,14 +71,14 @@
 }
 
 kernel::result<batch_header> decode_header(std::string_view id, const json& value) {
-    return guarded("batch", [&] {
+    return catch_json_errors("batch", [&] {
         batch_header out;
         out.id = id;
         out.host = value.at("host").get<std::string>();
         out.path = value.at("path").get<std::string>();
         out.account = value.value("account", "");
         out.owner = value.at("owner").get<std::string>();
-        out.owner_at = endpoint_of(value, "owner_at");
+        out.owner_at = decode_endpoint(value, "owner_at");
         out.received_ms = value.at("received_ms").get<std::int64_t>();
         out.parts = value.at("parts").get<int>();
         return out;
@@ -106,7 +107,7 @@
 }
 
 kernel::result<log_entry> decode_entry(const json& value) {
-    return guarded("log entry", [&] {
+    return catch_json_errors("log entry", [&] {
         log_entry out;
         out.writer = value.at("writer").get<std::string>();
         out.nonce = value.at("nonce").get<std::uint64_t>();
@@ -120,7 +121,7 @@
         out.ends = value.value("ends", false);
         out.new_owner = value.value("new_owner", "");
         if (!out.new_owner.empty()) {
-            out.new_owner_at = endpoint_of(value, "new_owner_at");
+            out.new_owner_at = decode_endpoint(value, "new_owner_at");
         }
         return out;
     });
@@ -132,11 +133,11 @@
 }
 
 kernel::result<host_entry> decode_host(std::string_view name, const json& value) {
-    return guarded("host", [&] {
+    return catch_json_errors("host", [&] {
         host_entry out;
         out.name = name;
         out.zone = value.at("zone").get<std::string>();
-        out.where = endpoint_of(value, "at");
+        out.where = decode_endpoint(value, "at");
         out.processor = value.at("processor").get<double>();
         return out;
     });
@@ -149,32 +150,33 @@
 }
 
 kernel::result<lease_record> decode_lease(const json& value) {
-    return guarded("order lease", [&] {
+    return catch_json_errors("order lease", [&] {
         return lease_record{value.at("holder").get<std::string>(),
                             value.value("renewal", std::uint64_t{0}),
                             value.value("loads_at_once", 0.0)};
     });
 }
 
-std::vector<std::string> split_submission(std::string_view text, std::size_t value_bytes) {
-    // As a JSON string each quote takes two bytes; the name and the revision stand beside it.
-    const std::size_t piece = std::max<std::size_t>(value_bytes / 2 - 512, 512);
+std::vector<std::string> split_submission(std::string_view text, std::size_t max_object_bytes) {
+    // Half of the size, as each quote takes two bytes in a JSON string; 512 bytes for the name and
+    // the revision of the object.
+    const std::size_t max_piece_bytes = std::max<std::size_t>(max_object_bytes / 2 - 512, 512);
     std::vector<std::string> out;
-    std::size_t start = 0;
-    while (start < text.size() || out.empty()) {
-        auto stop = std::min(start + piece, text.size());
-        // No cut inside a character of several bytes.
-        while (stop < text.size() && stop > start + 1 &&
-               (static_cast<unsigned char>(text[stop]) & 0xC0U) == 0x80U) {
-            --stop;
+    std::size_t begin = 0;
+    while (begin < text.size() || out.empty()) {
+        auto end = std::min(begin + max_piece_bytes, text.size());
+        // Don't cut inside a multi-byte UTF-8 character.
+        while (end < text.size() && end > begin + 1 &&
+               (static_cast<unsigned char>(text[end]) & 0xC0U) == 0x80U) {
+            --end;
         }
-        out.push_back(dump(json(text.substr(start, stop - start))));
-        start = stop;
+        out.push_back(dump(json(text.substr(begin, end - begin))));
+        begin = end;
     }
     return out;
 }
 
-std::string entry_name(std::string_view batch, std::uint64_t number) {
+std::string numbered_name(std::string_view batch, std::uint64_t number) {
     const auto digits = std::to_string(1000000 + number).substr(1);
     return std::string(batch) + "." + digits;
 }
--- a/src/front/records.hpp
+++ b/src/front/records.hpp
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-/// The system's own objects on the platform, as JSON.
+/// JSON encoding of the objects that the system keeps in the platform's store.
 namespace cornelloom::front {
 
 [[nodiscard]] std::string encode_header(const batch_header& header);
@@ -23,21 +23,22 @@
 [[nodiscard]] kernel::result<host_entry> decode_host(std::string_view name,
                                                      const nlohmann::json& value);
 
-/// The lease to act for all hosts, as it is stored.
+/// The lease of the host that acts for all hosts, as it is stored.
 struct lease_record {
     std::string holder;
-    std::uint64_t renewal = 0; ///< Makes each renewal a change, which has a revision of its own.
-    double loads_at_once = 0;  ///< What the holder has learned of the weights' source.
+    std::uint64_t renewal = 0; ///< Differs for each renewal, so that each gets a new revision.
+    double loads_at_once = 0;  ///< Parallel weight loads that the holder found the source to
+                               ///< sustain.
 };
 
 [[nodiscard]] std::string encode_lease(const lease_record& lease);
 [[nodiscard]] kernel::result<lease_record> decode_lease(const nlohmann::json& value);
 
-/// The text of a submission in pieces that each fit one object, as JSON strings.
+/// Splits a submission into JSON strings that each fit into one object of the store.
 [[nodiscard]] std::vector<std::string> split_submission(std::string_view text,
-                                                        std::size_t value_bytes);
+                                                        std::size_t max_object_bytes);
 
-/// Names of objects: numbers have six digits, so that names sort as numbers do.
-[[nodiscard]] std::string entry_name(std::string_view batch, std::uint64_t number);
+/// Name of the object with this number. Numbers have six digits, so that names sort numerically.
+[[nodiscard]] std::string numbered_name(std::string_view batch, std::uint64_t number);
 
 } // namespace cornelloom::front
--- a/tests/front/batch_tests.cpp
+++ b/tests/front/batch_tests.cpp
@@ -12,17 +12,17 @@
 
 namespace {
 
-const time_point start = time_point{} + 1h;
-constexpr std::size_t bytes_most = 1U << 20U;
+const time_point start_time = time_point{} + 1h;
+constexpr std::size_t max_bytes = 1U << 20U;
 
 batch_spec make_spec(int groups, int size) {
     batch_spec spec;
     for (int group = 0; group < groups; ++group) {
-        for (int at = 0; at < size; ++at) {
+        for (int i = 0; i < size; ++i) {
             batch_item item;
-            item.id = "item-" + std::to_string(group) + "-" + std::to_string(at);
+            item.id = "item-" + std::to_string(group) + "-" + std::to_string(i);
             item.group = "group-" + std::to_string(group);
-            item.tokens_out_hint = 100 * (at + 1);
+            item.tokens_out_hint = 100 * (i + 1);
             spec.items.push_back(item);
         }
     }
@@ -30,231 +30,237 @@
     return spec;
 }
 
-batch make(int groups, int size) {
+batch make_test_batch(int groups, int size) {
     batch_header header;
     header.id = "batch-1";
     header.owner = "host-a";
-    return make_batch(header, make_spec(groups, size), start);
+    return make_batch(header, make_spec(groups, size), start_time);
 }
 
-item_result result_of(const batch& one, std::size_t index, std::string text = "text") {
+item_result make_result(const batch& batch, std::size_t index, std::string text = "text") {
     item_result out;
-    out.id = one.spec.items[index].id;
+    out.id = batch.spec.items[index].id;
     out.completed = true;
     out.text = std::move(text);
     return out;
 }
 
-std::vector<std::string> ids(const batch& one) {
+std::vector<std::string> result_ids(const batch& batch) {
     std::vector<std::string> out;
-    std::ranges::transform(one.listed, std::back_inserter(out), &item_result::id);
+    std::ranges::transform(batch.listed, std::back_inserter(out), &item_result::id);
     return out;
 }
 
 } // namespace
 
-TEST_CASE("two hosts that both believe to own a batch list the same results at the same places",
+TEST_CASE("two hosts that both claim a batch publish the same results at the same positions",
           "[front][batch]") {
-    // The owner stands still for some seconds and another host takes over. The first one wakes and
-    // writes on. Without one log for both, a trainer would read two different results at one place.
+    // The owner is suspended for some seconds, another host takes over, and the first one resumes
+    // and continues to write. Without a shared log, a trainer could read two different results at
+    // the same position.
     rc::prop("for any order of writes and lost answers", [] {
-        std::vector<log_entry> store;
-        std::array<batch, 2> hosts{make(3, 4), make(3, 4)};
-        const auto moves = *rc::gen::container<std::vector<std::tuple<int, int, int>>>(
+        std::vector<log_entry> stored_log;
+        std::array<batch, 2> hosts{make_test_batch(3, 4), make_test_batch(3, 4)};
+        const auto actions = *rc::gen::container<std::vector<std::tuple<int, int, int>>>(
             60, rc::gen::tuple(rc::gen::inRange(0, 2), rc::gen::inRange(0, 12),
                                rc::gen::inRange(0, 4)));
         std::uint64_t nonce = 0;
-        for (const auto& [who, item, luck] : moves) {
-            auto& self = hosts[static_cast<std::size_t>(who)];
+        for (const auto& [host_index, item, write_outcome] : actions) {
+            auto& current = hosts[static_cast<std::size_t>(host_index)];
             const auto index = static_cast<std::size_t>(item);
-            if (self.items[index].phase != item_phase::finished) {
-                finish_item(self, result_of(self, index, "by " + std::to_string(who)), start);
+            if (current.items[index].phase != item_phase::finished) {
+                finish_item(current,
+                            make_result(current, index, "by " + std::to_string(host_index)),
+                            start_time);
             }
-            if (luck == 0 || self.waiting.empty()) {
+            if (write_outcome == 0 || current.waiting.empty()) {
                 continue;
             }
-            auto entry = next_entry(self, bytes_most);
-            entry.writer = std::to_string(who);
+            auto entry = next_entry(current, max_bytes);
+            entry.writer = std::to_string(host_index);
             entry.nonce = ++nonce;
-            if (self.next_entry < store.size()) {
-                apply_entry(self, self.next_entry,
-                            store[self.next_entry]); // taken: somebody else was first
+            if (current.next_entry < stored_log.size()) {
+                apply_entry(current, current.next_entry,
+                            stored_log[current.next_entry]); // the other host was first
                 continue;
             }
-            store.push_back(entry);
-            if (luck != 1) { // else the answer is lost and the entry is met later
-                apply_entry(self, self.next_entry, entry);
+            stored_log.push_back(entry);
+            if (write_outcome != 1) { // otherwise the response is lost, and the entry is read later
+                apply_entry(current, current.next_entry, entry);
             }
         }
-        for (auto& self : hosts) {
-            while (self.next_entry < store.size()) {
-                apply_entry(self, self.next_entry, store[self.next_entry]);
+        for (auto& current : hosts) {
+            while (current.next_entry < stored_log.size()) {
+                apply_entry(current, current.next_entry, stored_log[current.next_entry]);
             }
         }
-        RC_ASSERT(ids(hosts[0]) == ids(hosts[1]));
-        const auto listed = ids(hosts[0]);
+        RC_ASSERT(result_ids(hosts[0]) == result_ids(hosts[1]));
+        const auto listed = result_ids(hosts[0]);
         RC_ASSERT(std::set<std::string>(listed.begin(), listed.end()).size() == listed.size());
-        for (std::size_t at = 0; at < listed.size(); ++at) {
-            RC_ASSERT(hosts[0].listed[at].text == hosts[1].listed[at].text);
+        for (std::size_t i = 0; i < listed.size(); ++i) {
+            RC_ASSERT(hosts[0].listed[i].text == hosts[1].listed[i].text);
         }
     });
 }
 
-TEST_CASE("a result is shown only once the log holds it", "[front][batch]") {
-    // A host that shows a result and dies before it is stored would let its successor show another.
-    auto one = make(2, 2);
-    finish_item(one, result_of(one, 0), start);
-    CHECK(one.listed.empty());
-    apply_entry(one, one.next_entry, next_entry(one, bytes_most));
-    CHECK(one.listed.size() == 1);
-    CHECK(one.waiting.empty());
+TEST_CASE("a result is shown only after it is in the log", "[front][batch]") {
+    // If a host shows a result and dies before it is stored, the next owner may show a different
+    // one.
+    auto batch = make_test_batch(2, 2);
+    finish_item(batch, make_result(batch, 0), start_time);
+    CHECK(batch.listed.empty());
+    apply_entry(batch, batch.next_entry, next_entry(batch, max_bytes));
+    CHECK(batch.listed.size() == 1);
+    CHECK(batch.waiting.empty());
 }
 
-TEST_CASE("writes are few until somebody waits for them", "[front][batch][flush]") {
-    // A hundred results come within seconds; each write of the log is paid for. Nobody can use a
-    // result before the last wanted group is complete.
+TEST_CASE("the log is written rarely until a caller waits for results", "[front][batch][flush]") {
+    // A hundred results arrive within seconds, and the store charges for each write of the log. No
+    // caller can use a result before the last wanted group is complete.
     const flush_rules rules;
-    const auto deadline = start + 7500ms;
-    auto one = make(3, 2);
-    one.last_flush = start;
+    const auto deadline = start_time + 7500ms;
+    auto batch = make_test_batch(3, 2);
+    batch.last_flush = start_time;
     SECTION("nothing has finished") {
-        CHECK_FALSE(next_flush(one, rules, deadline));
+        CHECK_FALSE(next_flush(batch, rules, deadline));
     }
-    SECTION("some have") {
-        finish_item(one, result_of(one, 0), start + 100ms);
-        CHECK(*next_flush(one, rules, deadline) == start + 100ms + rules.calm_gap);
+    SECTION("some items have finished") {
+        finish_item(batch, make_result(batch, 0), start_time + 100ms);
+        CHECK(*next_flush(batch, rules, deadline) == start_time + 100ms + rules.normal_interval);
     }
     SECTION("the last wanted group is complete") {
-        for (std::size_t at = 0; at < one.items.size(); ++at) {
-            finish_item(one, result_of(one, at), start + 100ms);
+        for (std::size_t i = 0; i < batch.items.size(); ++i) {
+            finish_item(batch, make_result(batch, i), start_time + 100ms);
         }
-        CHECK(*next_flush(one, rules, deadline) == start + rules.hurry_gap);
+        CHECK(*next_flush(batch, rules, deadline) == start_time + rules.urgent_interval);
     }
-    SECTION("the deadline has come") {
-        finish_item(one, result_of(one, 0), deadline - 1s);
-        one.last_flush = deadline - 200ms;
-        CHECK(*next_flush(one, rules, deadline) == one.last_flush + rules.hurry_gap);
+    SECTION("the deadline is near") {
+        finish_item(batch, make_result(batch, 0), deadline - 1s);
+        batch.last_flush = deadline - 200ms;
+        CHECK(*next_flush(batch, rules, deadline) == batch.last_flush + rules.urgent_interval);
     }
-    SECTION("results that wait are written before the deadline, however few") {
-        finish_item(one, result_of(one, 0), deadline - 1s);
-        one.last_flush = deadline - 900ms;
-        CHECK(*next_flush(one, rules, deadline) < deadline);
+    SECTION("unwritten results are written before the deadline, however few") {
+        finish_item(batch, make_result(batch, 0), deadline - 1s);
+        batch.last_flush = deadline - 900ms;
+        CHECK(*next_flush(batch, rules, deadline) < deadline);
     }
     SECTION("the last texts of a step end one by one") {
-        // Guards against a caller who is woken by each of them and sleeps at the last one.
-        finish_item(one, result_of(one, 0), deadline - 1100ms);
-        one.last_flush = deadline - 1200ms;
-        CHECK(*next_flush(one, rules, deadline) > deadline - 500ms);
+        // Guards against a caller that is woken by each of them and not waiting when the last
+        // arrives.
+        finish_item(batch, make_result(batch, 0), deadline - 1100ms);
+        batch.last_flush = deadline - 1200ms;
+        CHECK(*next_flush(batch, rules, deadline) > deadline - 500ms);
     }
 }
 
-TEST_CASE("the item that promises to be longest starts first", "[front][batch][order]") {
-    // A tenth of the items runs five times as long as the rest. In the order of submission one of
-    // them may start last, and then the whole step ends seconds late.
-    auto one = make(2, 3);
-    const auto order = startable(one, start);
-    CHECK(one.spec.items[order.front()].tokens_out_hint == 300);
-    CHECK(one.spec.items[order.back()].tokens_out_hint == 100);
-    SECTION("but an item that has begun goes before all others") {
-        one.items[0].done.last_event = 4;
-        CHECK(startable(one, start).front() == 0);
+TEST_CASE("the item that is expected to be the longest starts first", "[front][batch][order]") {
+    // A tenth of the items run five times as long as the rest. In submission order one of them may
+    // start last, and the whole step then ends seconds late.
+    auto batch = make_test_batch(2, 3);
+    const auto order = startable(batch, start_time);
+    CHECK(batch.spec.items[order.front()].tokens_out_hint == 300);
+    CHECK(batch.spec.items[order.back()].tokens_out_hint == 100);
+    SECTION("but an item with partial output starts before all others") {
+        batch.items[0].done.last_event = 4;
+        CHECK(startable(batch, start_time).front() == 0);
     }
-    SECTION("and one that failed just now waits") {
-        one.items[order.front()].not_before = start + 50ms;
-        CHECK(startable(one, start).size() == 5);
+    SECTION("and one that has just failed is delayed") {
+        batch.items[order.front()].not_before = start_time + 50ms;
+        CHECK(startable(batch, start_time).size() == 5);
     }
 }
 
-TEST_CASE("a successor goes on from the text that the log holds", "[front][batch]") {
-    // The owner is killed in the middle of a long item. Its successor would generate seconds of
-    // text again, and the step would be late.
-    auto owner = make(1, 2);
+TEST_CASE("a new owner continues from the partial output in the log", "[front][batch]") {
+    // The owner is killed in the middle of a long item. If the new owner had to generate the text
+    // again, which takes seconds, the step would be late.
+    auto owner = make_test_batch(1, 2);
     owner.items[1].phase = item_phase::running;
     owner.items[1].done = {20, "twenty events", {3}, false};
-    finish_item(owner, result_of(owner, 0), start);
-    const auto entry = next_entry(owner, bytes_most);
-    auto successor = make(1, 2);
+    finish_item(owner, make_result(owner, 0), start_time);
+    const auto entry = next_entry(owner, max_bytes);
+    auto successor = make_test_batch(1, 2);
     apply_entry(successor, 0, entry);
     CHECK(successor.items[1].done.last_event == 20);
     CHECK(successor.items[1].done.text == "twenty events");
     CHECK(successor.items[1].done.versions == std::vector{3});
 }
 
-TEST_CASE("an entry never grows beyond what the store takes", "[front][batch][flush]") {
-    // 192 long items finish within a second, after the platform was slow. One entry with all of
-    // them was larger than an object may be: the store refused it each time, no result was ever
-    // shown, and every step of that trainer was lost.
-    auto one = make(12, 16);
-    for (std::size_t at = 0; at < one.items.size(); ++at) {
-        if (at % 3 == 0) {
-            one.items[at].done = {30, std::string(20000, 'x'), {3}, false};
+TEST_CASE("an entry never exceeds the maximum object size of the store", "[front][batch][flush]") {
+    // Guards against one entry with the results of 192 long items, which finish within a second
+    // after the platform was slow. The store rejects such an entry each time, so no result is ever
+    // shown, and every step of the trainer is lost.
+    auto batch = make_test_batch(12, 16);
+    for (std::size_t i = 0; i < batch.items.size(); ++i) {
+        if (i % 3 == 0) {
+            batch.items[i].done = {30, std::string(20000, 'x'), {3}, false};
         } else {
-            finish_item(one, result_of(one, at, std::string(20000, 'x')), start);
+            finish_item(batch, make_result(batch, i, std::string(20000, 'x')), start_time);
         }
     }
     std::size_t entries = 0;
-    while (!one.waiting.empty()) {
-        const auto entry = next_entry(one, bytes_most);
-        REQUIRE(encode_entry(entry).size() <= bytes_most);
+    while (!batch.waiting.empty()) {
+        const auto entry = next_entry(batch, max_bytes);
+        REQUIRE(encode_entry(entry).size() <= max_bytes);
         REQUIRE_FALSE(entry.results.empty());
-        apply_entry(one, one.next_entry, entry);
+        apply_entry(batch, batch.next_entry, entry);
         ++entries;
     }
-    CHECK(one.listed.size() == 128);
+    CHECK(batch.listed.size() == 128);
     CHECK(entries < 8);
 }
 
-TEST_CASE("an entry that is read while its own write is on its way counts once", "[front][batch]") {
-    // A host takes a batch over and reads its log at the same moment, because several callers ask.
-    // It met its own entry twice and left the next number out. The caller's end went behind that
-    // gap; after a restart the log seemed to stop before it, and an ended batch ran again, half a
-    // minute later.
-    auto one = make(1, 2);
-    log_entry taken;
-    taken.new_owner = "host-b";
-    CHECK(apply_entry(one, 0, taken));
-    CHECK_FALSE(apply_entry(one, 0, taken));
-    CHECK(one.next_entry == 1);
-    CHECK_FALSE(apply_entry(one, 5, taken));
-    CHECK(one.next_entry == 1);
+TEST_CASE("an entry that is read while its own write is in flight is applied once",
+          "[front][batch]") {
+    // Several callers ask for a batch, so that a host takes it over and reads its log at the same
+    // time, and sees its own entry twice. Guards against skipping the next number then: the
+    // caller's end would be written after the gap, the log would seem to stop before it after a
+    // restart, and the ended batch would run again, as happened half a minute after its end.
+    auto batch = make_test_batch(1, 2);
+    log_entry takeover;
+    takeover.new_owner = "host-b";
+    CHECK(apply_entry(batch, 0, takeover));
+    CHECK_FALSE(apply_entry(batch, 0, takeover));
+    CHECK(batch.next_entry == 1);
+    CHECK_FALSE(apply_entry(batch, 5, takeover));
+    CHECK(batch.next_entry == 1);
 }
 
-TEST_CASE("an end by the caller is an entry like any other", "[front][batch]") {
-    auto one = make(1, 2);
+TEST_CASE("a caller ends a batch by an entry of the log", "[front][batch]") {
+    auto batch = make_test_batch(1, 2);
     log_entry entry;
     entry.ends = true;
-    apply_entry(one, one.next_entry, entry);
-    CHECK(is_over(one));
+    apply_entry(batch, batch.next_entry, entry);
+    CHECK(is_over(batch));
 }
 
-TEST_CASE("log entries come back as they were written", "[front][records]") {
+TEST_CASE("log entries are decoded as they were encoded", "[front][records]") {
     rc::prop("for any texts",
              [](const std::string& text, const std::vector<int>& versions, bool ends) {
                  log_entry entry;
                  entry.writer = "host-a";
                  entry.nonce = 99;
-                 // The store takes UTF-8 only; other bytes are no text of a model.
-                 std::string plain;
-                 std::ranges::copy_if(text, std::back_inserter(plain),
+                 // The store accepts only UTF-8, and models generate nothing else.
+                 std::string ascii;
+                 std::ranges::copy_if(text, std::back_inserter(ascii),
                                       [](char c) { return static_cast<unsigned char>(c) < 0x80; });
-                 entry.results.push_back({"item-1", true, plain, versions, "score", true});
-                 entry.partials["item-2"] = {3, plain, versions, true};
+                 entry.results.push_back({"item-1", true, ascii, versions, "score", true});
+                 entry.partials["item-2"] = {3, ascii, versions, true};
                  entry.ends = ends;
-                 const auto read = decode_entry(nlohmann::json::parse(encode_entry(entry)));
-                 RC_ASSERT(read.has_value());
-                 RC_ASSERT(read.value().results.at(0).text == plain);
-                 RC_ASSERT(read.value().results.at(0).versions == versions);
-                 RC_ASSERT(read.value().partials.at("item-2").whole);
-                 RC_ASSERT(read.value().ends == ends);
+                 const auto decoded = decode_entry(nlohmann::json::parse(encode_entry(entry)));
+                 RC_ASSERT(decoded.has_value());
+                 RC_ASSERT(decoded.value().results.at(0).text == ascii);
+                 RC_ASSERT(decoded.value().results.at(0).versions == versions);
+                 RC_ASSERT(decoded.value().partials.at("item-2").whole);
+                 RC_ASSERT(decoded.value().ends == ends);
              });
 }
 
-TEST_CASE("a submission that is larger than an object is split and comes back whole",
+TEST_CASE("a submission that is larger than an object is split and reassembled",
           "[front][records]") {
-    rc::prop("for any text", [](const std::vector<bool>& shape) {
+    rc::prop("for any text", [](const std::vector<bool>& multi_byte_flags) {
         std::string text;
-        for (const bool wide : shape) {
-            text += wide ? "\xC3\xA9" : "\"";
+        for (const bool multi_byte : multi_byte_flags) {
+            text += multi_byte ? "\xC3\xA9" : "\"";
         }
         std::string joined;
         for (const auto& piece : split_submission(text, 1040)) {
@@ -265,22 +271,22 @@
     });
 }
 
-TEST_CASE("a record with a missing field is an error with its name", "[front][records]") {
-    const auto read = decode_header("batch-1", nlohmann::json::parse(R"({"host":"a"})"));
-    REQUIRE_FALSE(read);
-    CHECK(read.error().detail.find("path") != std::string::npos);
+TEST_CASE("a record with a missing field is an error that names the field", "[front][records]") {
+    const auto decoded = decode_header("batch-1", nlohmann::json::parse(R"({"host":"a"})"));
+    REQUIRE_FALSE(decoded);
+    CHECK(decoded.error().detail.find("path") != std::string::npos);
 }
 
-TEST_CASE("a reader who knows more than a host makes it look at the log", "[front][batch]") {
-    // Guards against a host that lost its batch to another one, does not know, and tells a reader
-    // that results which he has read don't exist.
+TEST_CASE("a host is outdated if a reader has seen more results", "[front][batch]") {
+    // Guards against a host that does not know that another one took its batch over, and tells a
+    // reader that results which the reader has already received don't exist.
     CHECK(is_outdated(12, 22));
     CHECK(is_outdated(0, 1));
     CHECK_FALSE(is_outdated(12, 12));
     CHECK_FALSE(is_outdated(22, 12));
 }
 
-TEST_CASE("a batch belongs to its client account", "[front][batch]") {
+TEST_CASE("a batch is visible only to its client account", "[front][batch]") {
     batch_header header;
     CHECK(is_visible(header, "east"));
     header.account = "east";
--- a/tests/front/log_knowledge_tests.cpp
+++ b/tests/front/log_knowledge_tests.cpp
@@ -13,8 +13,8 @@
 } // namespace
 
 TEST_CASE("an owner that does not know whether its batch was ended sends no item", "[front][log]") {
-    // Guards against items that reach targets seconds after their batch was ended: readers who
-    // still came to a former owner were taken for a sign that nobody had ended it.
+    // Guards against items that reach targets seconds after the end of their batch. That readers
+    // still come to a former owner does not show that the batch was not ended.
     CHECK(may_send_items({now, false}, now, cancel));
     CHECK(may_send_items({now - 2s, false}, now, cancel));
     CHECK_FALSE(may_send_items({now - 3s, false}, now, cancel));
@@ -24,10 +24,10 @@
     }
 }
 
-TEST_CASE("a batch goes on while the store is away", "[front][log]") {
-    // Guards against steps that stand still through an outage, in which no end can be accepted.
+TEST_CASE("a batch goes on while the store is unavailable", "[front][log]") {
+    // Guards against steps that stall during an outage, in which no end can be accepted anyway.
     CHECK(may_send_items({now - 10s, true}, now, cancel));
-    SECTION("which shows when it leaves a question without an answer") {
+    SECTION("or does not answer a read in time") {
         CHECK(may_send_items({now - 3s, false, now - 1s}, now, cancel));
         CHECK_FALSE(may_send_items({now - 3s, false, now - 200ms}, now, cancel));
     }
@@ -36,7 +36,7 @@
 TEST_CASE("the log is read again well before items are held back", "[front][log]") {
     CHECK(is_log_due({now - 1500ms, false}, now, cancel));
     CHECK_FALSE(is_log_due({now - 1s, false}, now, cancel));
-    SECTION("and again and again while the store does not answer") {
+    SECTION("and repeatedly while the store does not answer") {
         CHECK(is_log_due({now - 10s, true}, now, cancel));
     }
 }
