--- a/src/front/batch.hpp
+++ b/src/front/batch.hpp
@@ -31,8 +31,7 @@
     int failures = 0;                   ///< Failed attempts, counted as the platform does.
     time_point not_before{};            ///< No new attempt is made earlier.
     std::string last_target;            ///< The target of the latest attempt.
-    bool moved_late = false;            ///< It was moved to another target to meet the deadline;
-                                        ///< this is done once.
+    bool moved_late = false;            ///< Moved to another target, once, to meet the deadline.
     time_point passed_over{}; ///< Since when it waits for a faster target; zero: it does not.
 };
 
@@ -112,13 +111,11 @@
 /// results that are not in the log yet count, too.
 [[nodiscard]] int complete_groups(const batch& batch, bool include_unlogged);
 
-/// How often the log is written.
+/// Intervals between writes of the log.
 struct flush_rules {
-    milliseconds urgent_interval{
-        60}; ///< Between writes while a caller waits for these very results.
+    milliseconds urgent_interval{60};   ///< While a caller waits for these very results.
     milliseconds normal_interval{1200}; ///< Otherwise; a crash of this host repeats this much work.
-    milliseconds deadline_margin{
-        300}; ///< Results are urgent this long before the batch's deadline.
+    milliseconds deadline_margin{300};  ///< Before the deadline, in which all results are urgent.
 };
 
 /// When the log should be written next, or nothing if there is nothing to write.
--- a/src/front/batch_start.cpp
+++ b/src/front/batch_start.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// Response time of a runner: a round trip within the zone, and the time to read half a megabyte
-/// with the runner's share of a processor.
+/// Allows for a round trip within the zone, and for the runner to read half a megabyte with its
+/// share of a processor.
 constexpr loop::milliseconds runner_timeout{600};
 /// A runner that is not told within this time whether the batch is stored reads the store itself.
 constexpr loop::milliseconds store_check_delay{3000};
