--- a/src/front/load_plan.hpp
+++ b/src/front/load_plan.hpp
@@ -8,63 +8,69 @@
 
 namespace cornelloom::front {
 
-/// A model whose trainer has named a version.
-struct model_need {
+/// A model whose trainer has published a version.
+struct model_demand {
     std::string model;
     int version = 0;
-    bool single_version = false; ///< Samples must not mix versions.
-    /// Targets whose slots its items fill, with headroom; 0: unknown, and an equal share is taken.
-    std::size_t targets_wanted = 0;
+    bool single_version = false; ///< A sample must come from a single version.
+    /// Targets that its items need, headroom included; 0: unknown, an equal share is used.
+    std::size_t required_targets = 0;
 };
 
-/// A model target as the plan sees it.
+/// A target on which models can be loaded.
 struct load_candidate {
     std::string id;
-    std::map<std::string, int, std::less<>> versions; ///< Ordered loads count as done.
-    bool busy = false;    ///< A load is in progress, or its order's outcome is unknown.
-    bool awaited = false; ///< Its load should be over, but the list does not show it yet.
-    bool usable = true;   ///< In touch, not leaving, not much slower than the others.
+    std::map<std::string, int, std::less<>> versions; ///< Includes loads that have been ordered.
+    bool busy = false; ///< A load is in progress or the outcome of its order is unknown.
+    bool presumed_loaded =
+        false;          ///< The load should have finished; the target list does not show it yet.
+    bool usable = true; ///< Reachable, not draining, not much slower than others.
     int running = 0;
 };
 
-/// What has been observed of loads and versions; zero: nothing yet.
-struct load_pace {
-    milliseconds load{};     ///< A load takes so long.
-    milliseconds round{};    ///< Between two versions of one model.
-    std::size_t unnamed = 0; ///< Models whose first version may still be named, beside the needs.
+/// Observed timing of loads and versions; zero: no observation yet.
+struct load_timing {
+    milliseconds load_duration{};    ///< Usual duration of a load.
+    milliseconds version_interval{}; ///< Time between two versions of a model.
+    std::size_t models_without_version =
+        0; ///< Further models that are expected to publish a version.
 };
 
-struct load_choice {
+/// A load to order.
+struct planned_load {
     std::string target;
     std::string model;
     int version = 0;
-    load_order::mode runs = load_order::mode::keep;
+    load_order::mode order_mode = load_order::mode::keep;
 };
 
-/// Which targets load which version next; most urgent first, at most `at_once` in progress.
+/// Selects the next loads, most urgent first, so that at most `max_concurrent_loads` are in
+/// progress.
 ///
-/// Load it is made for: several trainers that each name a version every few seconds, on targets
-/// where a load takes 0.9 s and more than a few at once slow each other. Loading every version on
-/// every target would need several times the time there is. A version serves two steps, the one it
-/// was named for and the next, so each model has a share of the targets and they load alternately,
-/// every other version: half of them is always fresh when a step begins, and no step waits. The
-/// share is no larger than what its items need, however many targets there are. A load
-/// that should be over leaves its place to the next one before the list shows it, for heartbeats
-/// tell of it half a second late.
-[[nodiscard]] std::vector<load_choice> plan_loads(std::span<const model_need> needs,
-                                                  std::span<const load_candidate> targets,
-                                                  std::size_t at_once, const load_pace& pace = {});
+/// Designed for several trainers that each publish a version every few seconds, and targets where a
+/// load takes 0.9 s and more than a few concurrent loads slow each other down. Loading every
+/// version on every target would take several times the available time. A version serves two steps,
+/// the one it was published for and the next one. Each model therefore gets a share of the targets,
+/// which load every other version in turn: half of the share is up to date when a step begins, and
+/// no step waits for a load. The share never exceeds what the model's items need, however many
+/// targets there are. Heartbeats report a finished load half a second late, so a load that should
+/// have finished no longer counts towards the limit.
+[[nodiscard]] std::vector<planned_load> plan_loads(std::span<const model_demand> demands,
+                                                   std::span<const load_candidate> targets,
+                                                   std::size_t max_concurrent_loads,
+                                                   const load_timing& timing = {});
 
-/// Targets that each new version of a model is loaded on.
+/// The number of targets on which each new version of a model is loaded.
 ///
-/// Load it is made for: bursts of 72 to 184 items at the moment a version is named, on a hundred
-/// targets with six slots each. Only targets with the version before take them, so each version
-/// goes to as many targets as loads can reach before the next one is named, and no more than an
-/// equal share of all targets.
+/// Designed for bursts of 72 to 184 items when a version is published, on a hundred targets with
+/// six slots each. Only targets with the previous version can run them, so each version is loaded
+/// on as many targets as possible before the next one is published, up to an equal share of all
+/// targets.
 [[nodiscard]] std::size_t targets_per_version(std::size_t targets, std::size_t models,
-                                              std::size_t at_once, const load_pace& pace);
+                                              std::size_t max_concurrent_loads,
+                                              const load_timing& timing);
 
-/// Targets that one model should have with the newest version or the one before, at least.
+/// The minimum number of targets that should have one of the two newest versions of a model.
 [[nodiscard]] std::size_t targets_per_model(std::size_t targets, std::size_t models);
 
 } // namespace cornelloom::front
--- a/src/front/order_giver.cpp
+++ b/src/front/order_giver.cpp
@@ -12,97 +12,103 @@
 
 namespace {
 
-/// How often the plan is made anew while this host gives orders.
-constexpr milliseconds plan_every{150};
-/// A target answers an order at once; beyond this it may still carry it out later.
-constexpr milliseconds order_limit{800};
-constexpr loop::milliseconds connect_limit{300};
-/// A load that is not seen by then is looked into, unless loads have been seen to take longer.
-constexpr milliseconds load_most{4000};
-constexpr int loads_in_load_most = 3;
-/// A target that loads is asked again after this.
-constexpr loop::milliseconds report_every{100};
-/// One load in so many is followed by reports, which are paid for, once the limit is known.
-constexpr std::uint64_t loads_to_a_report = 4;
-/// A target that did not answer is asked again after this.
-constexpr milliseconds trouble_pause{700};
-/// Trainers start together. For so long after the first named version, the targets are shared with
-/// the models that have none yet: loads beyond a model's share would be in their way.
-constexpr milliseconds first_versions{10000};
+/// Interval between two plans while this host sends orders.
+constexpr milliseconds plan_interval{150};
+/// Targets answer an order immediately. One that times out may still be executed later.
+constexpr milliseconds order_timeout{800};
+constexpr loop::milliseconds connect_timeout{300};
+/// Timeout of a load, unless the observed duration of loads is longer.
+constexpr milliseconds default_load_timeout{4000};
+/// Load timeout as a multiple of the usual load duration.
+constexpr int load_timeout_factor = 3;
+/// Poll interval of a loading target's report.
+constexpr loop::milliseconds report_poll_interval{100};
+/// Once the concurrency limit has been determined, only one load in this many is polled, since
+/// reports are billed.
+constexpr std::uint64_t loads_per_polled_load = 4;
+/// Delay before another order to a target that did not answer or rejected one.
+constexpr milliseconds order_retry_delay{700};
+/// Trainers start at the same time. During this period after the first version, models without a
+/// version count when targets are shared; larger shares would delay their first loads.
+constexpr milliseconds startup_period{10000};
 
-/// What the giver knows of one target beyond the list.
-struct ordered_target {
-    std::optional<std::int64_t> orders; ///< Accepted by the target so far; nothing: ask it.
+/// Order state of one target, in addition to its entry in the target list.
+struct order_state {
+    std::optional<std::int64_t> accepted_orders; ///< Accepted by the target; empty: to be queried.
     std::int64_t born_ms = 0;
-    std::string model; ///< Of the newest order, until the list shows its load.
+    std::string model; ///< Of the latest order, until the target list shows the load.
     int version = 0;
-    time_point given{};   ///< When that order was given.
-    time_point until{};   ///< It counts as busy until then, or until the list shows the load.
-    time_point expires{}; ///< A load that the list does not show by then is looked into.
+    time_point sent_at{};    ///< When the latest order was sent.
+    time_point busy_until{}; ///< Busy until then, or until the load is seen to have finished.
+    time_point expires_at{}; ///< The target is queried if the load is not listed by then.
 };
 
-/// When a model's newest version was seen first.
-struct seen_version {
+/// The newest version of a model and when it was first seen.
+struct observed_version {
     int version = 0;
-    time_point at{};
+    time_point first_seen{};
 };
 
-struct giver {
-    explicit giver(std::shared_ptr<host> owner) : self(std::move(owner)) {}
+/// State of the load scheduler.
+struct load_scheduler {
+    explicit load_scheduler(std::shared_ptr<host> owner) : self(std::move(owner)) {}
 
     std::shared_ptr<host> self;
-    std::uint64_t fence = 0; ///< Of the lease under which `targets` was learned.
-    std::map<std::string, ordered_target, std::less<>> targets{};
-    std::map<std::string, seen_version, std::less<>> versions{};
-    time_point first_version{}; ///< When any was seen first; zero: not yet.
-    load_pace pace{};
+    std::uint64_t fence = 0; ///< Fencing token of the lease under which `targets` was collected.
+    std::map<std::string, order_state, std::less<>> targets{};
+    std::map<std::string, observed_version, std::less<>> versions{};
+    time_point first_version_at{}; ///< When the first version of any model was seen; zero: not yet.
+    load_timing timing{};
     load_limit limit{};
-    std::uint64_t loads = 0; ///< Orders that were accepted.
+    std::uint64_t accepted_loads = 0; ///< Number of accepted orders.
 };
 
-using giver_ptr = std::shared_ptr<giver>;
+using load_scheduler_ptr = std::shared_ptr<load_scheduler>;
 
-std::vector<model_need> needs_of(const host& self, const service& of) {
+std::vector<model_demand> collect_demands(const host& self, const service& service_config) {
     bool single = false;
     for (const auto& route : self.routes->source.routes) {
-        const bool serves = std::ranges::any_of(
-            route.services, [&of](const auto& share) { return share.service == of.name; });
+        const bool serves =
+            std::ranges::any_of(route.services, [&service_config](const auto& share) {
+                return share.service == service_config.name;
+            });
         single = single || (serves && route.single_version);
     }
-    std::vector<model_need> out;
-    for (const auto& model : of.models) {
+    std::vector<model_demand> out;
+    for (const auto& model : service_config.models) {
         const auto named = self.named_versions.find(model);
         if (named != self.named_versions.end() && named->second > 1) {
-            out.push_back(
-                {model, named->second, single, targets_for(peak_demand(self, model), of.slots)});
+            out.push_back({model, named->second, single,
+                           targets_needed_for(peak_demand(self, model), service_config.slots)});
         }
     }
     return out;
 }
 
-/// Learns how often the trainers name versions.
-void note_versions(giver& one) {
+/// Updates the observed interval between versions.
+void record_versions(load_scheduler& scheduler) {
     constexpr int samples = 8;
-    const auto now = one.self->now();
-    for (const auto& [model, version] : one.self->named_versions) {
-        auto& seen = one.versions[model];
+    const auto now = scheduler.self->now();
+    for (const auto& [model, version] : scheduler.self->named_versions) {
+        auto& seen = scheduler.versions[model];
         if (version == seen.version) {
             continue;
         }
-        one.first_version = one.first_version == time_point{} ? now : one.first_version;
+        scheduler.first_version_at =
+            scheduler.first_version_at == time_point{} ? now : scheduler.first_version_at;
         if (seen.version > 0) {
-            const auto round = std::chrono::duration_cast<milliseconds>(now - seen.at) /
-                               std::max(version - seen.version, 1);
-            auto& mean = one.pace.round;
-            mean = mean.count() == 0 ? round : mean + (round - mean) / samples;
+            const auto interval = std::chrono::duration_cast<milliseconds>(now - seen.first_seen) /
+                                  std::max(version - seen.version, 1);
+            auto& mean = scheduler.timing.version_interval;
+            mean = mean.count() == 0 ? interval : mean + (interval - mean) / samples;
         }
         seen = {version, now};
     }
 }
 
-/// The list shows the load, or it has taken too long.
-void settle_order(giver& one, const target_state& target, ordered_target& order) {
-    auto& self = *one.self;
+/// Clears the order state if the target restarted, the list shows the load, or the load timed out.
+void update_order_state(load_scheduler& scheduler, const target_state& target, order_state& order) {
+    auto& self = *scheduler.self;
     if (order.born_ms != target.entry.born_ms) {
         order = {};
         order.born_ms = target.entry.born_ms;
@@ -111,50 +117,53 @@
     if (order.model.empty()) {
         return;
     }
-    const auto listed = target.entry.versions.find(order.model);
-    const bool done = listed != target.entry.versions.end() && listed->second >= order.version;
+    const auto listed_version = target.entry.versions.find(order.model);
+    const bool done =
+        listed_version != target.entry.versions.end() && listed_version->second >= order.version;
     if (done) {
-        order.until = {};
+        order.busy_until = {};
         order.model.clear();
-    } else if (self.now() >= order.expires) {
-        order.orders = std::nullopt;
+    } else if (self.now() >= order.expires_at) {
+        order.accepted_orders = std::nullopt;
         order.model.clear();
     }
 }
 
-/// Whether the load should be over, though nothing has said so yet.
-bool is_awaited(const giver& one, const ordered_target& order) {
-    return one.pace.load.count() > 0 && one.self->now() - order.given >= one.pace.load;
+/// Whether the load should have finished by its usual duration, without confirmation yet.
+bool is_presumed_loaded(const load_scheduler& scheduler, const order_state& order) {
+    return scheduler.timing.load_duration.count() > 0 &&
+           scheduler.self->now() - order.sent_at >= scheduler.timing.load_duration;
 }
 
-std::size_t loads_running(const giver& one) {
-    const auto now = one.self->now();
-    return static_cast<std::size_t>(std::ranges::count_if(one.targets, [&](const auto& each) {
+std::size_t count_loads_in_progress(const load_scheduler& scheduler) {
+    const auto now = scheduler.self->now();
+    return static_cast<std::size_t>(std::ranges::count_if(scheduler.targets, [&](const auto& each) {
         const auto& order = each.second;
-        return !order.model.empty() && now < order.until && !is_awaited(one, order);
+        return !order.model.empty() && now < order.busy_until &&
+               !is_presumed_loaded(scheduler, order);
     }));
 }
 
-std::vector<load_candidate> candidates_of(giver& one, std::string_view service) {
-    auto& self = *one.self;
-    const auto usual = median_pace(self.targets, service);
+std::vector<load_candidate> load_candidates(load_scheduler& scheduler, std::string_view service) {
+    auto& self = *scheduler.self;
+    const auto median_interval = median_pace(self.targets, service);
     std::vector<load_candidate> out;
     for (auto& [id, target] : self.targets.by_id) {
         if (target.entry.service != service) {
             continue;
         }
-        auto& order = one.targets[id];
-        settle_order(one, target, order);
+        auto& order = scheduler.targets[id];
+        update_order_state(scheduler, target, order);
         load_candidate candidate;
         candidate.id = id;
         candidate.versions = target.entry.versions;
-        candidate.busy = self.now() < order.until;
+        candidate.busy = self.now() < order.busy_until;
         if (!order.model.empty()) {
             candidate.versions[order.model] = order.version;
-            candidate.awaited = is_awaited(one, order);
+            candidate.presumed_loaded = is_presumed_loaded(scheduler, order);
         }
-        candidate.usable =
-            !target.entry.draining && !is_slow(target, usual) && target.faults_in_a_row < 2;
+        candidate.usable = !target.entry.draining && !is_slow(target, median_interval) &&
+                           target.consecutive_failures < 2;
         candidate.running = target.running;
         out.push_back(std::move(candidate));
     }
@@ -164,7 +173,7 @@
 loop::task<std::optional<target_report>> read_report(std::shared_ptr<host> self, std::string id,
                                                      transport::endpoint where) {
     const auto outcome = co_await loop::call(self->connections, where, self->wire.report(id),
-                                             loop::after(order_limit), connect_limit);
+                                             loop::after(order_timeout), connect_timeout);
     if (outcome.fault != loop::exchange_fault::none || outcome.answer.status != 200) {
         co_return std::nullopt;
     }
@@ -177,188 +186,198 @@
     co_return report.value();
 }
 
-/// Learns how many orders the target has accepted; false if it would refuse one now.
-loop::task<bool> learn_orders(giver_ptr one, std::string id, transport::endpoint where) {
-    const auto report = co_await read_report(one->self, id, where);
+/// Queries how many orders the target has accepted; false if it would reject an order now.
+loop::task<bool> query_accepted_orders(load_scheduler_ptr scheduler, std::string id,
+                                       transport::endpoint where) {
+    const auto report = co_await read_report(scheduler->self, id, where);
     if (!report || report->busy) {
         co_return false;
     }
-    one->targets[id].orders = report->orders;
+    scheduler->targets[id].accepted_orders = report->orders;
     co_return true;
 }
 
-bool has_loaded(const target_report& report, const ordered_target& order) {
+bool has_loaded(const target_report& report, const order_state& order) {
     const auto found = report.versions.find(order.model);
     return found != report.versions.end() && found->second >= order.version;
 }
 
-/// Asks the target until its load is over: the list tells of that half a second later.
-loop::task<void> follow_load(giver_ptr one, std::string id, transport::endpoint where,
-                             std::uint64_t stands_for) {
-    auto self = one->self;
-    const auto given = one->targets[id].given;
-    const auto lowered = one->limit.lowered;
+/// Polls the target until its load has finished: the target list shows it half a second later.
+loop::task<void> poll_load(load_scheduler_ptr scheduler, std::string id, transport::endpoint where,
+                           std::uint64_t stands_for) {
+    auto self = scheduler->self;
+    const auto sent_at = scheduler->targets[id].sent_at;
+    const auto lowered = scheduler->limit.lowered;
     co_await loop::pause_for(self->io,
-                             milliseconds(static_cast<std::int64_t>(one->limit.shortest_ms)));
+                             milliseconds(static_cast<std::int64_t>(scheduler->limit.shortest_ms)));
     for (;;) {
-        const auto together = loads_running(*one) + 1;
+        const auto concurrent_loads = count_loads_in_progress(*scheduler) + 1;
         const auto report = co_await read_report(self, id, where);
-        auto& order = one->targets[id];
-        if (order.given != given || order.model.empty() || self->now() >= order.until) {
+        auto& order = scheduler->targets[id];
+        if (order.sent_at != sent_at || order.model.empty() || self->now() >= order.busy_until) {
             co_return;
         }
         if (report && has_loaded(*report, order)) {
-            order.until = {};
-            const auto took = std::chrono::duration_cast<milliseconds>(self->now() - given);
-            note_load(one->limit, {took, together, lowered, stands_for});
+            order.busy_until = {};
+            const auto duration = std::chrono::duration_cast<milliseconds>(self->now() - sent_at);
+            note_load(scheduler->limit, {duration, concurrent_loads, lowered, stands_for});
             note(*self, load_ended,
                  {{"target", id},
-                  {"ms", took.count()},
-                  {"together", static_cast<std::uint64_t>(together)},
-                  {"shortest_ms", one->limit.shortest_ms},
-                  {"stretch", one->limit.stretch},
-                  {"allowed", one->limit.allowed}});
-            one->pace.load = usual_load(one->limit);
+                  {"ms", duration.count()},
+                  {"together", static_cast<std::uint64_t>(concurrent_loads)},
+                  {"shortest_ms", scheduler->limit.shortest_ms},
+                  {"stretch", scheduler->limit.stretch},
+                  {"allowed", scheduler->limit.allowed}});
+            scheduler->timing.load_duration = usual_load(scheduler->limit);
             co_return;
         }
-        co_await loop::pause_for(self->io, report_every);
+        co_await loop::pause_for(self->io, report_poll_interval);
     }
 }
 
-/// Until the limit is known each load tells of it, later some do.
-void follow_some(const giver_ptr& one, std::string_view id, const transport::endpoint& where) {
-    const auto every = one->limit.lowered == 0 ? 1 : loads_to_a_report;
-    if (one->loads++ % every == 0) {
-        loop::asio::co_spawn(one->self->io, follow_load(one, std::string(id), where, every),
+/// Polls every load until the concurrency limit has been determined, then a sample of them.
+void maybe_poll_load(const load_scheduler_ptr& scheduler, std::string_view id,
+                     const transport::endpoint& where) {
+    const auto loads_per_poll = scheduler->limit.lowered == 0 ? 1 : loads_per_polled_load;
+    if (scheduler->accepted_loads++ % loads_per_poll == 0) {
+        loop::asio::co_spawn(scheduler->self->io,
+                             poll_load(scheduler, std::string(id), where, loads_per_poll),
                              loop::asio::detached);
     }
 }
 
-/// What the target's answer, or its silence, says about the next order.
-void take_order_answer(const giver_ptr& one, std::string_view id, const load_order& order,
-                       const transport::endpoint& where, const loop::call_outcome& outcome) {
-    auto& self = *one->self;
-    auto& known = one->targets[std::string(id)];
+/// Updates the order state by the target's answer, or by the lack of one.
+void apply_order_answer(const load_scheduler_ptr& scheduler, std::string_view id,
+                        const load_order& order, const transport::endpoint& where,
+                        const loop::call_outcome& outcome) {
+    auto& self = *scheduler->self;
+    auto& target_order = scheduler->targets[std::string(id)];
     if (outcome.fault != loop::exchange_fault::none) {
-        // It may be carried out yet. The next order names the same count, so that only one holds.
-        known.until = self.now() + trouble_pause;
-        known.model.clear();
+        // The order may still be executed. The next one carries the same expected count, so the
+        // target accepts only one of them.
+        target_order.busy_until = self.now() + order_retry_delay;
+        target_order.model.clear();
         return;
     }
     switch (self.wire.order_answer(outcome.answer.status)) {
     case order_outcome::accepted:
-        known.orders = order.expected_orders + 1;
-        follow_some(one, id, where);
+        target_order.accepted_orders = order.expected_orders + 1;
+        maybe_poll_load(scheduler, id, where);
         break;
     case order_outcome::holds_already:
-        known.until = {};
+        target_order.busy_until = {};
         break;
     case order_outcome::busy_or_changed:
     case order_outcome::fenced:
     case order_outcome::invalid:
     case order_outcome::other_target:
-        known.orders = std::nullopt;
-        known.model.clear();
-        known.until = self.now() + trouble_pause;
+        target_order.accepted_orders = std::nullopt;
+        target_order.model.clear();
+        target_order.busy_until = self.now() + order_retry_delay;
         break;
     }
 }
 
-/// Loads take longer beside others, and as long as they have been seen to.
-milliseconds longest_load(const giver& one) {
-    return std::max(load_most, one.pace.load * loads_in_load_most);
+/// Timeout of a load: concurrent loads slow each other, so it grows with the usual duration.
+milliseconds load_timeout(const load_scheduler& scheduler) {
+    return std::max(default_load_timeout, scheduler.timing.load_duration * load_timeout_factor);
 }
 
-loop::task<void> give(giver_ptr one, load_choice choice) {
-    auto self = one->self;
-    const auto found = self->targets.by_id.find(choice.target);
+loop::task<void> send_order(load_scheduler_ptr scheduler, planned_load planned) {
+    auto self = scheduler->self;
+    const auto found = self->targets.by_id.find(planned.target);
     if (found == self->targets.by_id.end()) {
         co_return;
     }
     const auto where = found->second.entry.where;
-    auto& known = one->targets[choice.target];
-    known.model = choice.model;
-    known.version = choice.version;
-    known.given = self->now();
-    known.until = known.expires = known.given + longest_load(*one);
-    bool ready = known.orders.has_value();
+    auto& target_order = scheduler->targets[planned.target];
+    target_order.model = planned.model;
+    target_order.version = planned.version;
+    target_order.sent_at = self->now();
+    target_order.busy_until = target_order.expires_at =
+        target_order.sent_at + load_timeout(*scheduler);
+    bool ready = target_order.accepted_orders.has_value();
     if (!ready) {
-        ready = co_await learn_orders(one, choice.target, where);
+        ready = co_await query_accepted_orders(scheduler, planned.target, where);
     }
-    if (!ready || !leads(*self)) {
-        known.model.clear();
-        known.until = self->now() + trouble_pause;
+    if (!ready || !is_leader(*self)) {
+        target_order.model.clear();
+        target_order.busy_until = self->now() + order_retry_delay;
         co_return;
     }
-    known.given = self->now();
-    load_order order{choice.model,        choice.version,        choice.runs,
-                     self->settings.host, self->lead.view.fence, known.orders.value_or(0)};
+    target_order.sent_at = self->now();
+    load_order order{planned.model,         planned.version,
+                     planned.order_mode,    self->settings.host,
+                     self->lead.view.fence, target_order.accepted_orders.value_or(0)};
     auto outcome =
-        co_await loop::call(self->connections, where, self->wire.order(order, choice.target),
-                            loop::after(order_limit), connect_limit);
-    take_order_answer(one, choice.target, order, where, outcome);
+        co_await loop::call(self->connections, where, self->wire.order(order, planned.target),
+                            loop::after(order_timeout), connect_timeout);
+    apply_order_answer(scheduler, planned.target, order, where, outcome);
     self->metrics.count("cornelloom_orders_total");
     note(*self, order_given,
-         {{"target", choice.target},
-          {"model", choice.model},
-          {"version", choice.version},
+         {{"target", planned.target},
+          {"model", planned.model},
+          {"version", planned.version},
           {"fence", order.fence},
           {"expected_orders", order.expected_orders},
-          {"lease_age_ms", ms_between(self->lead.view.renewed, self->clock.boot_now())},
+          {"lease_age_ms", ms_between(self->lead.view.last_renewal, self->clock.boot_now())},
           {"fault", to_string(outcome.fault)},
           {"status", status_of(outcome)}});
 }
 
-void give_orders(const giver_ptr& one) {
-    auto& self = *one->self;
+void schedule_loads(const load_scheduler_ptr& scheduler) {
+    auto& self = *scheduler->self;
     if (!self.routes) {
         return;
     }
-    note_versions(*one);
+    record_versions(*scheduler);
     for (const auto& [name, service] : self.routes->source.services) {
-        const auto needs = needs_of(self, service);
-        if (needs.empty()) {
+        const auto demands = collect_demands(self, service);
+        if (demands.empty()) {
             continue;
         }
-        const auto targets = candidates_of(*one, name);
-        const bool starting = self.now() - one->first_version < first_versions;
-        one->pace.unnamed = starting ? service.models.size() - needs.size() : 0;
-        for (auto& choice : plan_loads(needs, targets, loads_at_once(one->limit), one->pace)) {
-            loop::asio::co_spawn(self.io, give(one, std::move(choice)), loop::asio::detached);
+        const auto targets = load_candidates(*scheduler, name);
+        const bool in_startup = self.now() - scheduler->first_version_at < startup_period;
+        scheduler->timing.models_without_version =
+            in_startup ? service.models.size() - demands.size() : 0;
+        for (auto& planned :
+             plan_loads(demands, targets, loads_at_once(scheduler->limit), scheduler->timing)) {
+            loop::asio::co_spawn(self.io, send_order(scheduler, std::move(planned)),
+                                 loop::asio::detached);
         }
     }
 }
 
-/// What an earlier holding taught of the targets says nothing of the orders of others since.
-void begin_holding(giver& one) {
-    one.fence = one.self->lead.view.fence;
-    one.limit.allowed = std::max(one.limit.allowed, one.self->lead.loads_at_once);
-    // Reset in place: an order may still be on its way and hold on to its entry.
-    for (auto& [id, target] : one.targets) {
+/// Resets the order state: other holders may have sent orders since this host last held the lease.
+void reset_for_new_lease(load_scheduler& scheduler) {
+    scheduler.fence = scheduler.self->lead.view.fence;
+    scheduler.limit.allowed = std::max(scheduler.limit.allowed, scheduler.self->lead.loads_at_once);
+    // Reset in place: an order in flight may still hold a reference to its entry.
+    for (auto& [id, target] : scheduler.targets) {
         target = {};
     }
 }
 
-loop::task<void> run(giver_ptr one) {
-    auto self = one->self;
+loop::task<void> run(load_scheduler_ptr scheduler) {
+    auto self = scheduler->self;
     for (;;) {
         co_await wait_for_lease(self);
-        if (one->fence != self->lead.view.fence) {
-            begin_holding(*one);
+        if (scheduler->fence != self->lead.view.fence) {
+            reset_for_new_lease(*scheduler);
         }
-        if (leads(*self)) {
-            give_orders(one);
-            self->lead.loads_at_once = one->limit.allowed;
+        if (is_leader(*self)) {
+            schedule_loads(scheduler);
+            self->lead.loads_at_once = scheduler->limit.allowed;
         }
-        co_await loop::pause_for(self->io, plan_every);
+        co_await loop::pause_for(self->io, plan_interval);
     }
 }
 
 } // namespace
 
 void start_order_giver(const std::shared_ptr<host>& self) {
-    auto one = std::make_shared<giver>(self);
-    loop::asio::co_spawn(self->io, run(one), loop::asio::detached);
+    auto scheduler = std::make_shared<load_scheduler>(self);
+    loop::asio::co_spawn(self->io, run(scheduler), loop::asio::detached);
 }
 
 } // namespace cornelloom::front
--- a/src/front/order_giver.hpp
+++ b/src/front/order_giver.hpp
@@ -6,8 +6,8 @@
 
 namespace cornelloom::front {
 
-/// Holds or watches the right to give orders, and while this host has it, brings targets to the
-/// versions that trainers have named.
+/// Starts the load scheduler. While this host holds the lease, it orders targets to load the
+/// versions that trainers have published.
 void start_order_giver(const std::shared_ptr<host>& self);
 
 } // namespace cornelloom::front
--- a/src/front/order_lease.cpp
+++ b/src/front/order_lease.cpp
@@ -4,72 +4,77 @@
 
 namespace {
 
-/// When a new holder may give its first order.
-time_point first_order(const lease_view& view, const lease_rules& rules, std::string_view self,
-                       time_point sent) {
-    // Another process of this same host is the same holder.
+/// When a new holder may send its first order.
+time_point first_order_time(const lease_view& view, const lease_rules& rules, std::string_view self,
+                            time_point sent) {
+    // Another process of the same host is the same holder.
     if (view.revision == 0 || view.holder == self) {
         return sent;
     }
-    // Given back: the last order left before that was seen here.
+    // Released: the last order was sent before the release was read here.
     if (view.holder.empty()) {
-        return view.seen_first + rules.turn;
+        return view.first_seen + rules.handover_delay;
     }
-    // The last renewal was sent before it was seen here, so the last order left by then plus
-    // `valid`.
-    return view.seen_first + rules.valid + rules.turn;
+    // The last renewal was sent before it was read here, so the last order was sent at most
+    // `validity` after that.
+    return view.first_seen + rules.validity + rules.handover_delay;
 }
 
 } // namespace
 
-bool holds(const lease_view& view, std::string_view self) {
-    return view.holder == self && view.renewed != time_point{};
+bool is_holder(const lease_view& view, std::string_view self) {
+    return view.holder == self && view.last_renewal != time_point{};
 }
 
-lease_step next_step(const lease_view& view, const lease_rules& rules, std::string_view self,
-                     time_point now) {
-    if (holds(view, self)) {
-        return now - view.renewed >= rules.renew_every ? lease_step::renew : lease_step::none;
+lease_action next_lease_action(const lease_view& view, const lease_rules& rules,
+                               std::string_view self, time_point now) {
+    if (is_holder(view, self)) {
+        return now - view.last_renewal >= rules.renew_interval ? lease_action::renew
+                                                               : lease_action::none;
     }
-    // After a restart the own name stands there, but this process holds nothing: it takes the lease
-    // anew, with a new fence. The same goes when nobody has it.
+    // The record may name this host although this process doesn't hold the lease: the process was
+    // restarted and needs a new fencing token. Without a holder the lease is free.
     if (view.holder == self || view.holder.empty()) {
-        return lease_step::take;
+        return lease_action::acquire;
     }
-    return now - view.seen_first >= rules.silent ? lease_step::take : lease_step::none;
+    return now - view.first_seen >= rules.takeover_timeout ? lease_action::acquire
+                                                           : lease_action::none;
 }
 
-bool may_have_to_order(const lease_view& view, const lease_rules& rules, std::string_view self,
+bool may_schedule_soon(const lease_view& view, const lease_rules& rules, std::string_view self,
                        time_point now) {
-    const auto missed = rules.renew_every * 3 / 2;
-    return view.holder.empty() || view.holder == self || now - view.seen_first >= missed;
+    const auto missed_renewal_after = rules.renew_interval * 3 / 2;
+    return view.holder.empty() || view.holder == self ||
+           now - view.first_seen >= missed_renewal_after;
 }
 
-void note_seen(lease_view& view, std::uint64_t revision, std::string_view holder, time_point now) {
+void record_lease_read(lease_view& view, std::uint64_t revision, std::string_view holder,
+                       time_point now) {
     if (revision <= view.revision) {
         return;
     }
     view.revision = revision;
     view.holder = holder;
-    view.seen_first = now;
-    view.renewed = {};
+    view.first_seen = now;
+    view.last_renewal = {};
 }
 
-void note_written(lease_view& view, const lease_rules& rules, std::uint64_t revision,
-                  std::string_view self, time_point sent) {
-    if (!holds(view, self)) {
+void record_lease_write(lease_view& view, const lease_rules& rules, std::uint64_t revision,
+                        std::string_view self, time_point sent) {
+    if (!is_holder(view, self)) {
         view.fence = revision;
-        view.orders_from = first_order(view, rules, self, sent);
+        view.orders_allowed_from = first_order_time(view, rules, self, sent);
     }
     view.revision = revision;
     view.holder = self;
-    view.renewed = sent;
-    view.seen_first = sent;
+    view.last_renewal = sent;
+    view.first_seen = sent;
 }
 
-bool may_order(const lease_view& view, const lease_rules& rules, std::string_view self,
-               time_point now) {
-    return holds(view, self) && now - view.renewed < rules.valid && now >= view.orders_from;
+bool may_send_orders(const lease_view& view, const lease_rules& rules, std::string_view self,
+                     time_point now) {
+    return is_holder(view, self) && now - view.last_renewal < rules.validity &&
+           now >= view.orders_allowed_from;
 }
 
 } // namespace cornelloom::front
--- a/src/front/target_supplier.cpp
+++ b/src/front/target_supplier.cpp
@@ -10,37 +10,41 @@
 
 namespace {
 
-/// How often the need is judged: two fifths of the time in which a target starts.
-constexpr loop::milliseconds judge_every{1500};
-/// An order must not arrive after those of the next leader: see `lease_rules::turn`.
-constexpr loop::milliseconds supply_limit{800};
-constexpr loop::milliseconds supply_connect{300};
-/// An order that was turned away is given again after this.
-constexpr milliseconds turned_away_pause{5000};
-
+/// Interval between two plans: two fifths of the time that a target needs to start.
+constexpr loop::milliseconds planning_interval{1500};
+/// Short enough that no order arrives after those of the next leader; see
+/// `lease_rules::handover_delay`.
+constexpr loop::milliseconds order_timeout{800};
+constexpr loop::milliseconds connect_timeout{300};
+/// Delay before a failed or rejected order is sent again.
+constexpr milliseconds order_retry_delay{5000};
+
+/// The last order for a zone.
 struct zone_order {
     int count = 0;
-    time_point not_before{}; ///< Not given again before.
+    time_point not_before{}; ///< No further order before this time.
 };
 
-struct supplier {
-    explicit supplier(std::shared_ptr<host> owner) : self(std::move(owner)) {}
+/// State of the target orders.
+struct supply_state {
+    explicit supply_state(std::shared_ptr<host> owner) : self(std::move(owner)) {}
 
     std::shared_ptr<host> self;
-    std::uint64_t fence = 0; ///< Of the lease under which `orders` were given.
+    std::uint64_t fence = 0; ///< Fencing token of the lease under which `orders` were sent.
     std::map<std::string, std::map<std::string, zone_order>> orders{}; ///< By service and zone.
 };
 
-loop::task<void> order_zone(supplier& one, const service& of, std::string zone, int count) {
-    auto self = one.self;
+loop::task<void> order_targets(supply_state& state, const service& service_config, std::string zone,
+                               int count) {
+    auto self = state.self;
     const duty_sender sender{self->settings.host, self->lead.view.fence};
-    const supply_order order{of.name, zone, count};
+    const supply_order order{service_config.name, zone, count};
     const auto outcome = co_await loop::call(self->connections, self->settings.duties->where,
                                              self->wire.supply(order, sender),
-                                             loop::after(supply_limit), supply_connect);
+                                             loop::after(order_timeout), connect_timeout);
     const int status = status_of(outcome);
     note(*self, targets_ordered,
-         {{"service", of.name},
+         {{"service", service_config.name},
           {"zone", zone},
           {"count", count},
           {"fence", sender.fence},
@@ -48,19 +52,19 @@
           {"fault", to_string(outcome.fault)}});
     self->metrics.count("cornelloom_supply_orders_total",
                         std::array{kernel::label{"outcome", status == 200 ? "accepted" : "again"}});
-    auto& known = one.orders[of.name][zone];
+    auto& last_order = state.orders[service_config.name][zone];
     if (status == 200) {
-        known.count = count;
+        last_order.count = count;
     } else {
-        known.not_before = self->now() + turned_away_pause;
+        last_order.not_before = self->now() + order_retry_delay;
     }
 }
 
-std::vector<zone_supply> supply_of(supplier& one, const service& of) {
-    auto& self = *one.self;
+std::vector<zone_supply> zone_supplies(supply_state& state, const service& service_config) {
+    auto& self = *state.self;
     std::map<std::string, zone_supply> zones;
     for (const auto& [id, target] : self.targets.by_id) {
-        if (target.entry.service == of.name) {
+        if (target.entry.service == service_config.name) {
             auto& zone = zones[target.entry.zone];
             zone.zone = target.entry.zone;
             zone.serving += target.entry.draining ? 0 : 1;
@@ -68,57 +72,60 @@
     }
     std::vector<zone_supply> out;
     for (auto& [name, zone] : zones) {
-        zone.ordered = one.orders[of.name][name].count;
+        zone.ordered = state.orders[service_config.name][name].count;
         out.push_back(std::move(zone));
     }
     return out;
 }
 
-/// Items of all models of the service that were in work at once.
-std::uint64_t items_wanted(const host& self, const service& of) {
+/// Sum of the peak numbers of concurrent items over all models of the service.
+std::uint64_t total_peak_items(const host& self, const service& service_config) {
     std::uint64_t out = 0;
-    for (const auto& model : of.models) {
+    for (const auto& model : service_config.models) {
         out += peak_demand(self, model);
     }
     return out;
 }
 
-loop::task<void> judge(supplier& one) {
-    auto self = one.self;
-    if (one.fence != self->lead.view.fence) {
-        one.fence = self->lead.view.fence;
-        one.orders.clear();
+/// Plans the targets of each service and orders those that are missing.
+loop::task<void> plan_and_order(supply_state& state) {
+    auto self = state.self;
+    if (state.fence != self->lead.view.fence) {
+        state.fence = self->lead.view.fence;
+        state.orders.clear();
     }
     if (!self->routes || !self->targets_listed) {
         co_return;
     }
     const auto routes = self->routes;
-    for (const auto& [name, of] : routes->source.services) {
-        if (!of.scaling) {
+    for (const auto& [name, service_config] : routes->source.services) {
+        if (!service_config.scaling) {
             continue;
         }
-        const auto zones = supply_of(one, of);
-        const auto counts =
-            plan_supply(*of.scaling, zones, {items_wanted(*self, of), std::max(of.slots, 1)});
-        for (std::size_t at = 0; at < zones.size(); ++at) {
-            const auto& known = one.orders[name][zones[at].zone];
-            const bool wanted = counts[at] > std::max(zones[at].serving, zones[at].ordered) ||
-                                (zones[at].ordered > 0 && counts[at] != zones[at].ordered);
-            if (wanted && self->now() >= known.not_before && leads(*self)) {
-                co_await order_zone(one, of, zones[at].zone, counts[at]);
+        const auto zones = zone_supplies(state, service_config);
+        const auto counts = plan_supply(
+            *service_config.scaling, zones,
+            {total_peak_items(*self, service_config), std::max(service_config.slots, 1)});
+        for (std::size_t index = 0; index < zones.size(); ++index) {
+            const auto& last_order = state.orders[name][zones[index].zone];
+            const bool order_needed =
+                counts[index] > std::max(zones[index].serving, zones[index].ordered) ||
+                (zones[index].ordered > 0 && counts[index] != zones[index].ordered);
+            if (order_needed && self->now() >= last_order.not_before && is_leader(*self)) {
+                co_await order_targets(state, service_config, zones[index].zone, counts[index]);
             }
         }
     }
 }
 
-loop::task<void> run(std::shared_ptr<supplier> one) {
-    auto self = one->self;
+loop::task<void> run(std::shared_ptr<supply_state> state) {
+    auto self = state->self;
     for (;;) {
         co_await wait_for_lease(self);
-        if (leads(*self)) {
-            co_await judge(*one);
+        if (is_leader(*self)) {
+            co_await plan_and_order(*state);
         }
-        co_await loop::pause_for(self->io, judge_every);
+        co_await loop::pause_for(self->io, planning_interval);
     }
 }
 
@@ -126,7 +133,8 @@
 
 void start_target_supply(const std::shared_ptr<host>& self) {
     if (self->settings.duties && self->settings.duties->orders_targets) {
-        loop::asio::co_spawn(self->io, run(std::make_shared<supplier>(self)), loop::asio::detached);
+        loop::asio::co_spawn(self->io, run(std::make_shared<supply_state>(self)),
+                             loop::asio::detached);
     }
 }
 
--- a/src/front/target_supplier.hpp
+++ b/src/front/target_supplier.hpp
@@ -6,7 +6,7 @@
 
 namespace cornelloom::front {
 
-/// Orders targets from the platform while this process leads; see `plan_supply`.
+/// Starts to order targets from the platform while this process is the leader; see `plan_supply`.
 void start_target_supply(const std::shared_ptr<host>& self);
 
 } // namespace cornelloom::front
--- a/src/front/target_supply.cpp
+++ b/src/front/target_supply.cpp
@@ -8,40 +8,40 @@
 
 namespace {
 
-double price_of(const scaling_bounds& bounds, std::string_view zone) {
+double zone_price(const scaling_bounds& bounds, std::string_view zone) {
     const auto found = bounds.zone_prices.find(zone);
     return found == bounds.zone_prices.end() ? 1 : found->second;
 }
 
 } // namespace
 
-std::size_t targets_for(std::uint64_t items, int slots) {
-    const double needed = static_cast<double>(items) * supply_headroom / std::max(slots, 1);
+std::size_t targets_needed_for(std::uint64_t items, int slots) {
+    const double needed = static_cast<double>(items) * headroom_factor / std::max(slots, 1);
     return static_cast<std::size_t>(std::ceil(needed));
 }
 
 std::vector<int> plan_supply(const scaling_bounds& bounds, std::span<const zone_supply> zones,
-                             const supply_need& need) {
+                             const supply_demand& demand) {
     std::vector<int> out;
     for (const auto& zone : zones) {
-        const int there = std::max(zone.serving, zone.ordered);
-        out.push_back(std::clamp(there, std::min(bounds.least, bounds.most), bounds.most));
+        const int current = std::max(zone.serving, zone.ordered);
+        out.push_back(std::clamp(current, std::min(bounds.least, bounds.most), bounds.most));
     }
-    int missing = static_cast<int>(targets_for(need.peak, need.slots)) -
+    int missing = static_cast<int>(targets_needed_for(demand.peak_items, demand.slots)) -
                   std::accumulate(out.begin(), out.end(), 0);
     while (missing > 0) {
-        // The zone with the fewest, so that the loss of one zone takes no more than its part; of
-        // equals the cheapest.
+        // The zone with the fewest targets, so that a zone outage affects no more than an equal
+        // share; among equals the cheapest.
         std::size_t best = zones.size();
-        for (std::size_t at = 0; at < zones.size(); ++at) {
-            if (out[at] >= bounds.most) {
+        for (std::size_t index = 0; index < zones.size(); ++index) {
+            if (out[index] >= bounds.most) {
                 continue;
             }
-            const auto rank = [&](std::size_t one) {
-                return std::pair(out[one], price_of(bounds, zones[one].zone));
+            const auto rank = [&](std::size_t candidate) {
+                return std::pair(out[candidate], zone_price(bounds, zones[candidate].zone));
             };
-            if (best == zones.size() || rank(at) < rank(best)) {
-                best = at;
+            if (best == zones.size() || rank(index) < rank(best)) {
+                best = index;
             }
         }
         if (best == zones.size()) {
--- a/src/front/target_supply.hpp
+++ b/src/front/target_supply.hpp
@@ -9,37 +9,35 @@
 
 namespace cornelloom::front {
 
-/// How many targets a service should have in each availability zone.
-
-/// What a service has in one zone.
+/// The targets of a service in one availability zone.
 struct zone_supply {
     std::string zone;
-    int serving = 0; ///< Targets in the list that are not leaving.
-    int ordered = 0; ///< The last number that was ordered; 0: none.
+    int serving = 0; ///< Listed targets that are not draining.
+    int ordered = 0; ///< Count of the last order; 0: none.
 };
 
-/// What is known of the work.
-struct supply_need {
-    std::uint64_t peak = 0; ///< Items that were in work at once, lately.
-    int slots = 1;          ///< Items that a target runs at once.
+/// The demand that a service has to handle.
+struct supply_demand {
+    std::uint64_t peak_items = 0; ///< Peak number of concurrent items in recent windows.
+    int slots = 1;                ///< Items that a target runs concurrently.
 };
 
-/// Targets beyond those whose slots the peak fills: some are loading, slow or about to fail, and a
-/// model has only those that hold its newest versions.
-inline constexpr double supply_headroom = 2.0;
+/// Ratio of slots to peak items. Some targets are loading, slow or failing, and a model can use
+/// only targets that have one of its newest versions.
+inline constexpr double headroom_factor = 2.0;
 
-/// Targets that so many items in work at once need, headroom included.
-[[nodiscard]] std::size_t targets_for(std::uint64_t items, int slots);
+/// Targets that this many concurrent items need, headroom included.
+[[nodiscard]] std::size_t targets_needed_for(std::uint64_t items, int slots);
 
-/// The number to order in each zone, in the order of `zones`.
+/// The number of targets to order in each zone, in the order of `zones`.
 ///
-/// Load it is made for: trainers that each submit a hundred or two items at one moment, and wait
-/// for the last of them. Targets are paid by the second, and a step that is lost costs far more
-/// than some targets more. So the number follows the peak of the last windows, and never falls:
-/// bursts come again, and a target that is taken away must first be emptied. What is there and was
-/// not ordered by us stays.
+/// Designed for trainers that each submit one or two hundred items at once and wait for the last of
+/// them. Targets are billed by the second, but a lost step costs far more than some extra targets.
+/// The number therefore follows the peak of recent windows and never decreases: bursts recur, and a
+/// target has to be drained before it can be removed. Targets that were not ordered by this system
+/// are kept.
 [[nodiscard]] std::vector<int> plan_supply(const scaling_bounds& bounds,
                                            std::span<const zone_supply> zones,
-                                           const supply_need& need);
+                                           const supply_demand& demand);
 
 } // namespace cornelloom::front
--- a/src/front/targets.cpp
+++ b/src/front/targets.cpp
@@ -9,49 +9,49 @@
 
 namespace {
 
-/// Weight of the newest sample in a moving mean: the last ten or so count, about a second of work.
-constexpr double newest_weight = 0.2;
-/// What a failed request costs its caller: a timeout and another attempt, in milliseconds.
-constexpr double fault_cost_ms = 400;
-/// Assumed for a target that has not answered yet.
-constexpr double unknown_latency_ms = 30;
-
-/// Entries that vanish at one moment in an outage: one alone is a target that left.
-constexpr std::size_t vanish_together = 3;
-/// A removal is news here within this: a pause between two watches and the way through a feeder.
-constexpr milliseconds news_limit{1000};
-
-/// Events after which the steady pace of a target is known to some percent, and the number beyond
-/// which older ones fade.
-constexpr int steady_events_least = 15;
-constexpr int steady_events_most = 200;
-/// The newest events may be off the steady pace by this part for no reason but chance.
-constexpr double chance_deviation = 0.4;
-
-bool is_troubled(const target_state& target) {
+/// Smoothing factor of moving averages: covers about ten samples, or one second of requests.
+constexpr double smoothing_factor = 0.2;
+/// Cost of a failed request to the caller: a timeout and a retry.
+constexpr double failure_cost_ms = 400;
+/// Assumed for a target without a latency sample.
+constexpr double default_latency_ms = 30;
+
+/// Fewer simultaneous removals are taken for targets that left.
+constexpr std::size_t min_simultaneous_expiries = 3;
+/// Longest delay of a removal: the gap between two watches and the relay through a feeder.
+constexpr milliseconds max_update_delay{1000};
+
+/// Samples after which the long-term average is accurate to some percent, and the number beyond
+/// which older samples lose weight.
+constexpr int min_interval_samples = 15;
+constexpr int max_interval_samples = 200;
+/// Deviation of the short-term average, relative to the long-term one, that noise alone may cause.
+constexpr double max_relative_deviation = 0.4;
+
+bool deviates_from_long_term(const target_state& target) {
     return std::abs(target.pace_ms - target.steady_pace_ms) >
-           chance_deviation * target.steady_pace_ms;
+           max_relative_deviation * target.steady_pace_ms;
 }
 
-void blend(double& mean, double sample) {
-    mean = mean == 0 ? sample : mean + newest_weight * (sample - mean);
+void update_average(double& mean, double sample) {
+    mean = mean == 0 ? sample : mean + smoothing_factor * (sample - mean);
 }
 
-bool takes_work(const target_state& target) {
+bool accepts_requests(const target_state& target) {
     return !target.entry.draining;
 }
 
-double expected_ms(const target_state& target, const distance& from) {
-    const double usual = target.latency_ms > 0 ? target.latency_ms : unknown_latency_ms;
+double expected_response_ms(const target_state& target, const distance& from) {
+    const double average = target.latency_ms > 0 ? target.latency_ms : default_latency_ms;
     const double slots = std::max(target.entry.slots, 1);
-    return usual * (1 + target.running / slots) + target.fault_share * fault_cost_ms +
+    return average * (1 + target.running / slots) + target.failure_rate * failure_cost_ms +
            distance_ms(from, target.entry.zone) + spread(from, target.entry.id);
 }
 
 } // namespace
 
 void put_target(target_table& table, target_entry entry, time_point now) {
-    table.vanished.erase(entry.id);
+    table.deferred_removals.erase(entry.id);
     auto& target = table.by_id[entry.id];
     const bool restarted =
         target.entry.born_ms != entry.born_ms || target.entry.where != entry.where;
@@ -81,8 +81,8 @@
 }
 
 void remove_target(target_table& table, std::string_view id, time_point now) {
-    if (now < table.trust_removals_from) {
-        table.vanished.try_emplace(std::string(id), table.trust_removals_from);
+    if (now < table.defer_removals_until) {
+        table.deferred_removals.try_emplace(std::string(id), table.defer_removals_until);
         return;
     }
     const auto found = table.by_id.find(id);
@@ -107,15 +107,15 @@
 }
 
 void note_return(target_table& table, time_point now) {
-    table.trust_removals_from = now + lapsed_entry_grace;
+    table.defer_removals_until = now + removal_grace_period;
 }
 
 bool have_lapsed(std::size_t vanished, milliseconds since_trouble, milliseconds calm) {
-    return vanished >= vanish_together && since_trouble < calm - news_limit;
+    return vanished >= min_simultaneous_expiries && since_trouble < calm - max_update_delay;
 }
 
 void expire_vanished(target_table& table, time_point now) {
-    std::erase_if(table.vanished, [&](const auto& entry) {
+    std::erase_if(table.deferred_removals, [&](const auto& entry) {
         if (entry.second > now) {
             return false;
         }
@@ -125,43 +125,45 @@
 }
 
 void note_answer(target_state& target, double latency_ms) {
-    blend(target.latency_ms, latency_ms);
-    target.fault_share *= 1 - newest_weight;
-    target.faults_in_a_row = 0;
+    update_average(target.latency_ms, latency_ms);
+    target.failure_rate *= 1 - smoothing_factor;
+    target.consecutive_failures = 0;
     target.avoid_until = {};
 }
 
 void note_fault(target_state& target, time_point now) {
-    target.fault_share += newest_weight * (1 - target.fault_share);
-    const int doublings = std::min(target.faults_in_a_row, 4);
-    ++target.faults_in_a_row;
-    target.avoid_until = now + std::min(first_avoidance * (1 << doublings), longest_avoidance);
+    target.failure_rate += smoothing_factor * (1 - target.failure_rate);
+    const int doublings = std::min(target.consecutive_failures, 4);
+    ++target.consecutive_failures;
+    target.avoid_until =
+        now + std::min(min_failure_backoff * (1 << doublings), max_failure_backoff);
 }
 
 void note_full(target_state& target, time_point now) {
-    target.avoid_until = std::max(target.avoid_until, now + full_avoidance);
+    target.avoid_until = std::max(target.avoid_until, now + full_target_backoff);
 }
 
 void note_event_gap(target_state& target, double gap_ms) {
-    blend(target.pace_ms, gap_ms);
-    target.faults_in_a_row = 0;
-    const bool settled = target.paced_events >= steady_events_least;
-    if (settled && is_troubled(target)) {
+    update_average(target.pace_ms, gap_ms);
+    target.consecutive_failures = 0;
+    const bool has_enough_samples = target.interval_samples >= min_interval_samples;
+    if (has_enough_samples && deviates_from_long_term(target)) {
         return;
     }
-    target.paced_events = std::min(target.paced_events + 1, steady_events_most);
-    target.steady_pace_ms += (gap_ms - target.steady_pace_ms) / target.paced_events;
+    target.interval_samples = std::min(target.interval_samples + 1, max_interval_samples);
+    target.steady_pace_ms += (gap_ms - target.steady_pace_ms) / target.interval_samples;
 }
 
 double likely_pace(const target_state& target) {
-    const bool settled = target.paced_events >= steady_events_least;
-    return settled && !is_troubled(target) ? target.steady_pace_ms : target.pace_ms;
+    const bool has_enough_samples = target.interval_samples >= min_interval_samples;
+    return has_enough_samples && !deviates_from_long_term(target) ? target.steady_pace_ms
+                                                                  : target.pace_ms;
 }
 
 double spread(const distance& from, std::string_view target_id) {
     constexpr std::uint64_t steps = 1024;
     const auto step = kernel::hash64(target_id, from.salt) % steps;
-    return spread_ms * static_cast<double>(step) / static_cast<double>(steps);
+    return max_tie_breaker_ms * static_cast<double>(step) / static_cast<double>(steps);
 }
 
 double distance_ms(const distance& from, std::string_view zone) {
@@ -169,13 +171,13 @@
         return 0;
     }
     if (from.region_of_zone == nullptr) {
-        return between_zones_ms;
+        return inter_zone_rtt_ms;
     }
     const auto here = from.region_of_zone->find(from.zone);
     const auto there = from.region_of_zone->find(zone);
     const auto end = from.region_of_zone->end();
     const bool same_region = here != end && there != end && here->second == there->second;
-    return same_region ? between_zones_ms : between_regions_ms;
+    return same_region ? inter_zone_rtt_ms : inter_region_rtt_ms;
 }
 
 target_state* choose_plain(target_table& table, std::string_view service, const distance& from,
@@ -183,10 +185,10 @@
     target_state* best = nullptr;
     std::pair<bool, double> best_rank{};
     for (auto& [id, target] : table.by_id) {
-        if (target.entry.service != service || !takes_work(target) || excluded.contains(id)) {
+        if (target.entry.service != service || !accepts_requests(target) || excluded.contains(id)) {
             continue;
         }
-        const std::pair rank(target.avoid_until > now, expected_ms(target, from));
+        const std::pair rank(target.avoid_until > now, expected_response_ms(target, from));
         if (best == nullptr || rank < best_rank) {
             best = &target;
             best_rank = rank;
--- a/src/front/targets.hpp
+++ b/src/front/targets.hpp
@@ -14,96 +14,107 @@
 
 using kernel::time_point;
 
-/// What this host knows of one target: its entry in the list, and what its own requests have met.
+/// The state that this host keeps for one target: its entry in the target list and statistics of
+/// the requests that this host has sent to it.
 struct target_state {
     target_entry entry;
-    int running = 0;           ///< Requests of this host that are at the target now.
-    int unstarted = 0;         ///< Items of this host that are at the target and have no event yet.
-    double latency_ms = 0;     ///< Moving mean of plain requests; 0: none yet.
-    double pace_ms = 0;        ///< Moving mean between two events of a stream; 0: none yet.
-    double steady_pace_ms = 0; ///< The same over hundreds of events, leaving out troubled times.
-    int paced_events = 0;      ///< That `steady_pace_ms` has counted, up to a bound.
-    double fault_share = 0;    ///< Moving share of requests that failed without an answer.
-    int faults_in_a_row = 0;
-    time_point avoid_until{};   ///< Chosen only when all others are avoided, too.
-    time_point leaving_since{}; ///< When it was first seen as draining; zero: it isn't.
-    /// Models whose load makes the target refuse their requests, and until when that is assumed.
+    int running = 0;           ///< Requests of this host in flight at the target.
+    int unstarted = 0;         ///< Items of this host in flight without an event yet.
+    double latency_ms = 0;     ///< Moving average over non-streaming requests; 0: no sample.
+    double pace_ms = 0;        ///< Moving average between stream events; 0: no sample.
+    double steady_pace_ms = 0; ///< Long-term average; excludes samples during a slowdown.
+    int interval_samples = 0;  ///< Number of samples in `steady_pace_ms`, capped.
+    double failure_rate = 0;   ///< Moving average of requests that failed without a response.
+    int consecutive_failures = 0;
+    time_point avoid_until{};   ///< Until then selected only if no other target is available.
+    time_point leaving_since{}; ///< When it was first seen draining; zero: not draining.
+    /// Models that the target is loading, and until when it is assumed to reject their requests.
     std::map<std::string, time_point, std::less<>> loading_until;
 };
 
-/// All targets, by id.
+/// All known targets, by id.
 struct target_table {
     std::map<std::string, target_state, std::less<>> by_id;
-    /// The platform's list may lack living targets until then: it was out of reach, and heartbeats
-    /// lapsed meanwhile. Entries that vanish before are kept for so long.
-    time_point trust_removals_from{};
-    std::map<std::string, time_point, std::less<>> vanished; ///< Kept though the list lacks them.
+    /// Removals before this time are deferred until then: after a platform outage the list may lack
+    /// running targets whose heartbeats expired meanwhile.
+    time_point defer_removals_until{};
+    std::map<std::string, time_point, std::less<>> deferred_removals; ///< With the due time.
 };
 
-/// How long after the platform's return a living target's entry may still be missing: it is back
-/// within two seconds, says the platform; a quarter of a second for the way of the news.
-inline constexpr milliseconds lapsed_entry_grace{2250};
+/// How long removals are deferred after a platform outage. The platform lists running targets again
+/// within 2 s; the rest allows for the propagation of the update.
+inline constexpr milliseconds removal_grace_period{2250};
 
-/// A target whose last request failed is left alone for this long, doubled for each further failure
-/// in a row: one round trip between regions at least, and a crashed process is back after seconds.
-inline constexpr milliseconds first_avoidance{250};
-inline constexpr milliseconds longest_avoidance{4000};
-/// A target that was full is asked again once a usual plain request may have ended.
-inline constexpr milliseconds full_avoidance{60};
+/// Backoff after a failed request, doubled for each consecutive failure. At least a round trip
+/// between regions; a crashed process needs seconds to restart.
+inline constexpr milliseconds min_failure_backoff{250};
+inline constexpr milliseconds max_failure_backoff{4000};
+/// Backoff after a target reported that it is full: about the duration of a non-streaming request.
+inline constexpr milliseconds full_target_backoff{60};
 
+/// Adds the entry or updates it, unless a newer revision is known. A restarted target starts with
+/// new statistics.
 void put_target(target_table& table, target_entry entry, time_point now);
+/// Removes the target, or defers the removal after an outage.
 void remove_target(target_table& table, std::string_view id, time_point now);
-/// Makes the table hold just these.
+/// Replaces the content of the table by a complete list.
 void replace_targets(target_table& table, std::vector<target_entry> all, time_point now);
-/// The platform is back after it was out of reach.
+/// Records that the platform is reachable again after an outage.
 void note_return(target_table& table, time_point now);
-/// Whether entries that vanished together have lapsed with the store out of reach, rather than been
-/// taken away by their targets. `since_trouble`: since a call to the store last failed; `calm`:
-/// without trouble for so long, what the list says binds at once.
+/// Whether entries that were removed together expired because heartbeats could not be stored,
+/// rather than being removed by their targets. `since_trouble`: time since a call to the store last
+/// failed; `calm`: after this time without failures, removals take effect at once.
 ///
-/// Load it is made for: a service that shrinks takes several targets away within a moment, and all
-/// targets vanish within a moment when their heartbeats could not be stored. To keep the first kind
-/// sends work to targets that have left; not to keep the second refuses everything for seconds.
+/// Scaling a service down and a store outage both remove several targets at once. Keeping targets
+/// that were scaled down sends requests to stopped processes; dropping targets after an outage
+/// rejects all requests for seconds.
 [[nodiscard]] bool have_lapsed(std::size_t vanished, milliseconds since_trouble, milliseconds calm);
-/// Removes entries whose time of grace is over.
+/// Removes the targets whose deferred removal is due.
 void expire_vanished(target_table& table, time_point now);
 
+/// Records an answered non-streaming request.
 void note_answer(target_state& target, double latency_ms);
+/// Records a request that failed or stalled, and starts the backoff.
 void note_fault(target_state& target, time_point now);
+/// Records that the target rejected a request without running it.
 void note_full(target_state& target, time_point now);
+/// Records the time between two events of a stream.
 void note_event_gap(target_state& target, double gap_ms);
 
-/// What an event is expected to take at the target; 0: unknown.
+/// Expected time between two stream events of the target, in milliseconds; 0: unknown.
 ///
-/// Targets differ by a third for good, which a mean of ten events can't tell from chance: texts
-/// would be moved to and fro. They also turn several times slower within a moment. So the steady
-/// pace counts, unless the newest events are far off it.
+/// Targets differ permanently by up to a third, which an average over ten events can't distinguish
+/// from noise, so streams would be moved back and forth. Targets also become several times slower
+/// within moments. The long-term average is therefore used unless recent events deviate strongly.
 [[nodiscard]] double likely_pace(const target_state& target);
 
-/// Extra time that a request needs to a target, by where it is.
+/// The location of this host, from which the network latency to a target is estimated.
 struct distance {
-    std::uint64_t salt = 0; ///< Of this host: hosts that know the same choose different targets.
+    std::uint64_t salt = 0; ///< Differs by host, to vary the choice of targets.
     std::string_view zone;
     const std::map<std::string, std::string, std::less<>>* region_of_zone = nullptr;
 };
 
-/// Round trips between two regions, in milliseconds.
-inline constexpr double between_regions_ms = 40;
-/// Round trips between two zones of a region, in milliseconds.
-inline constexpr double between_zones_ms = 3;
+/// Round trip time between two regions.
+inline constexpr double inter_region_rtt_ms = 40;
+/// Round trip time between two zones of a region.
+inline constexpr double inter_zone_rtt_ms = 3;
 
-/// Differs by host and target: 0 to this many milliseconds, less than a zone's distance.
-inline constexpr double spread_ms = 2;
+/// Upper bound of the tie breaker; below the latency between zones.
+inline constexpr double max_tie_breaker_ms = 2;
+/// A pseudorandom latency offset for each pair of host and target, to spread load over equal
+/// targets.
 [[nodiscard]] double spread(const distance& from, std::string_view target_id);
 
+/// Estimated round trip time to a zone.
 [[nodiscard]] double distance_ms(const distance& from, std::string_view zone);
 
-/// The target that is expected to answer a plain request soonest, or null.
+/// The target with the lowest expected response time for a non-streaming request, or null.
 ///
-/// Load it is made for: short requests of 25 to 200 ms on services with 6 slots a target. Expected
-/// time = usual latency, stretched by this host's own requests there, plus the distance, plus what
-/// its failures have cost of late. It prevents queues at one target while others are free, and
-/// keeps a target that fails part of its requests while it looks healthy at the end of the line.
+/// Designed for requests of 25 to 200 ms on services with 6 slots per target. The expected time is
+/// the average latency, scaled by this host's requests in flight, plus the network latency and a
+/// penalty for recent failures. This avoids queues at one target while others are idle, and ranks
+/// targets that pass health checks but fail some of their requests last.
 [[nodiscard]] target_state* choose_plain(target_table& table, std::string_view service,
                                          const distance& from,
                                          const std::set<std::string, std::less<>>& excluded,
--- a/src/front/usage_report.cpp
+++ b/src/front/usage_report.cpp
@@ -8,23 +8,24 @@
 
 report_rules rules_for(milliseconds due) {
     report_rules out;
-    out.settle = due * 3 / 10;
-    out.latest = due * 7 / 10;
+    out.settle_delay = due * 3 / 10;
+    out.cutoff = due * 7 / 10;
     return out;
 }
 
-std::optional<window_number> next_window(const window_counts& book,
-                                         std::optional<window_number> last, window_number first,
-                                         std::int64_t now_ms, const report_rules& rules) {
-    const auto oldest = window_at(book, now_ms - rules.kept.count());
+std::optional<window_number> next_window_to_report(const window_counts& windows,
+                                                   std::optional<window_number> last,
+                                                   window_number first, std::int64_t now_ms,
+                                                   const report_rules& rules) {
+    const auto oldest = window_at(windows, now_ms - rules.kept.count());
     const auto next = std::max(last ? *last + 1 : first, oldest);
-    const auto over = begin_of(book, next + 1);
-    return now_ms >= over + rules.settle.count() ? std::optional(next) : std::nullopt;
+    const auto end_ms = begin_of(windows, next + 1);
+    return now_ms >= end_ms + rules.settle_delay.count() ? std::optional(next) : std::nullopt;
 }
 
-bool is_late(const window_counts& book, window_number window, std::int64_t now_ms,
-             const report_rules& rules) {
-    return now_ms >= begin_of(book, window + 1) + rules.latest.count();
+bool past_cutoff(const window_counts& windows, window_number window, std::int64_t now_ms,
+                 const report_rules& rules) {
+    return now_ms >= begin_of(windows, window + 1) + rules.cutoff.count();
 }
 
 std::string encode_report(const usage_report& report) {
--- a/src/front/usage_report.hpp
+++ b/src/front/usage_report.hpp
@@ -8,35 +8,34 @@
 
 namespace cornelloom::front {
 
-/// What is told to the platform of one window.
+/// Usage counts of one window, as reported to the platform.
 struct usage_report {
     window_number window = 0;
     named_counts counts{};
 };
 
-/// When a window is reported, counted from its end.
+/// When a window is reported, relative to its end.
 struct report_rules {
-    /// Requests that began just before the end are answered, and their counts have come in.
-    milliseconds settle{3000};
-    /// Hosts that have not told their counts by then are left out.
-    milliseconds latest{7000};
-    /// Older windows are given up: nobody keeps their counts.
+    /// By then requests that began just before the end have completed and been counted.
+    milliseconds settle_delay{3000};
+    /// Hosts that have not sent their counts by then are left out.
+    milliseconds cutoff{7000};
+    /// Older windows are not reported, because their counts are no longer kept.
     milliseconds kept{60000};
 };
 
-/// The rules for reports that are due so long after the end of their window.
+/// The rules for reports that are due this long after the end of their window.
 [[nodiscard]] report_rules rules_for(milliseconds due);
 
-/// The window that is reported next, or nothing while none is over for long enough. `last`: the
-/// newest that has been reported; `first`: where reports begin if there is none.
-[[nodiscard]] std::optional<window_number> next_window(const window_counts& book,
-                                                       std::optional<window_number> last,
-                                                       window_number first, std::int64_t now_ms,
-                                                       const report_rules& rules);
+/// The next window to report, or nothing if none ended long enough ago. `last`: the last reported
+/// window; `first`: the first window to report if there is none.
+[[nodiscard]] std::optional<window_number>
+next_window_to_report(const window_counts& windows, std::optional<window_number> last,
+                      window_number first, std::int64_t now_ms, const report_rules& rules);
 
-/// Whether the report goes out without the counts of hosts that do not answer.
-[[nodiscard]] bool is_late(const window_counts& book, window_number window, std::int64_t now_ms,
-                           const report_rules& rules);
+/// Whether the report is sent without the counts of hosts that do not respond.
+[[nodiscard]] bool past_cutoff(const window_counts& windows, window_number window,
+                               std::int64_t now_ms, const report_rules& rules);
 
 [[nodiscard]] std::string encode_report(const usage_report& report);
 [[nodiscard]] kernel::result<usage_report> decode_report(const nlohmann::json& value);
--- a/src/front/usage_reporter.cpp
+++ b/src/front/usage_reporter.cpp
@@ -9,37 +9,39 @@
 
 namespace {
 
-constexpr std::string_view report_name = "newest";
-/// How often the leader looks whether a window is due.
-constexpr loop::milliseconds look_every{300};
-/// A report must not arrive after those of the next leader: see `lease_rules::turn`.
-constexpr loop::milliseconds report_limit{800};
-constexpr loop::milliseconds report_connect{300};
-constexpr int status_too_many = 429;
-
-/// The newest report that is stored.
+constexpr std::string_view report_object_name = "newest";
+/// How often the leader checks whether a window is due.
+constexpr loop::milliseconds check_interval{300};
+/// Short enough that no report arrives after those of the next leader; see
+/// `lease_rules::handover_delay`.
+constexpr loop::milliseconds report_timeout{800};
+constexpr loop::milliseconds connect_timeout{300};
+constexpr int status_too_many_requests = 429;
+
+/// The last report in the store.
 struct stored_report {
     usage_report report{};
-    std::uint64_t revision = 0; ///< 0: none is stored.
-    bool accepted = false;      ///< The platform has taken it, as far as this process knows.
+    std::uint64_t revision = 0; ///< 0: the store has no report.
+    bool delivered = false;     ///< Whether this process knows that the platform needs no retry.
 };
 
-struct reporter {
-    explicit reporter(std::shared_ptr<host> owner) : self(std::move(owner)) {}
+/// State of the usage reports.
+struct reporter_state {
+    explicit reporter_state(std::shared_ptr<host> owner) : self(std::move(owner)) {}
 
     std::shared_ptr<host> self;
-    std::uint64_t fence = 0; ///< Of the lease under which `newest` was read.
-    std::optional<stored_report> newest{};
-    window_number first = 0; ///< Reports begin here if none is stored.
+    std::uint64_t fence = 0; ///< Fencing token of the lease under which `last_stored` was read.
+    std::optional<stored_report> last_stored{};
+    window_number first_window = 0; ///< The first window to report if none is stored.
 };
 
-/// Reads what the leader before has stored; false if the store can't tell.
-loop::task<bool> read_newest(reporter& one) {
-    auto self = one.self;
+/// Reads the report that the previous leader stored; false if the read failed.
+loop::task<bool> read_last_stored(reporter_state& state) {
+    auto self = state.self;
     const auto answer = co_await call_store(
-        self->store, self->wire.get(object_kind::usage_reports, report_name, false));
+        self->store, self->wire.get(object_kind::usage_reports, report_object_name, false));
     if (answer.fault == store_fault::not_found) {
-        one.newest = stored_report{};
+        state.last_stored = stored_report{};
         co_return true;
     }
     if (answer.fault != store_fault::none) {
@@ -53,109 +55,113 @@
              {{"kind", "usage_reports"}, {"problem", report.error().detail}});
         co_return false;
     }
-    one.newest = stored_report{report.value(), object.value().revision, false};
+    state.last_stored = stored_report{report.value(), object.value().revision, false};
     co_return true;
 }
 
-store_request report_write(const host& self, std::string_view text, std::uint64_t revision) {
+store_request report_write_request(const host& self, std::string_view text,
+                                   std::uint64_t revision) {
     const auto kind = object_kind::usage_reports;
-    return revision == 0 ? self.wire.create(kind, report_name, text)
-                         : self.wire.replace(kind, report_name, text, revision);
+    return revision == 0 ? self.wire.create(kind, report_object_name, text)
+                         : self.wire.replace(kind, report_object_name, text, revision);
 }
 
-/// Settles what is reported of the window; false if it is not known to be stored.
-loop::task<bool> store_report(reporter& one, window_number window) {
-    auto self = one.self;
+/// Stores the report of the window; false if the write is not known to have succeeded.
+loop::task<bool> store_report(reporter_state& state, window_number window) {
+    auto self = state.self;
     const usage_report report{window, totals(self->usage, window)};
     const auto text = encode_report(report);
-    const auto write = report_write(*self, text, one.newest->revision);
+    const auto write = report_write_request(*self, text, state.last_stored->revision);
     const auto answer = co_await call_store(self->store, write);
     const auto object = self->wire.object(answer.body);
     if (answer.fault != store_fault::none || !object) {
-        // It may be stored all the same, or another leader has stored one: that is read again.
-        one.newest.reset();
+        // The write may have succeeded anyway, or another leader may have stored a report: read
+        // again.
+        state.last_stored.reset();
         co_return false;
     }
-    one.newest = stored_report{report, object.value().revision, false};
+    state.last_stored = stored_report{report, object.value().revision, false};
     co_return true;
 }
 
-/// Sends the stored report.
-loop::task<void> send_report(reporter& one) {
-    auto self = one.self;
-    const auto report = one.newest->report;
+/// Sends the stored report to the platform.
+loop::task<void> send_report(reporter_state& state) {
+    auto self = state.self;
+    const auto report = state.last_stored->report;
     const duty_sender sender{self->settings.host, self->lead.view.fence};
     const auto outcome = co_await loop::call(self->connections, self->settings.duties->where,
                                              self->wire.usage(report, sender),
-                                             loop::after(report_limit), report_connect);
+                                             loop::after(report_timeout), connect_timeout);
     const int status = status_of(outcome);
-    const auto over = begin_of(self->usage, report.window + 1);
+    const auto window_end_ms = begin_of(self->usage, report.window + 1);
     note(*self, usage_reported,
          {{"window", report.window},
           {"accounts", static_cast<std::uint64_t>(report.counts.size())},
           {"fence", sender.fence},
           {"status", status},
           {"fault", to_string(outcome.fault)},
-          {"since_end_ms", self->clock.wall_now().unix_ms - over}});
-    const bool again = status == 0 || status == status_too_many || status >= 500;
+          {"since_end_ms", self->clock.wall_now().unix_ms - window_end_ms}});
+    const bool retry = status == 0 || status == status_too_many_requests || status >= 500;
     self->metrics.count("cornelloom_usage_reports_total",
-                        std::array{kernel::label{"outcome", again           ? "again"
+                        std::array{kernel::label{"outcome", retry           ? "again"
                                                             : status == 200 ? "accepted"
                                                                             : "refused"}});
-    if (one.newest) {
-        one.newest->accepted = !again;
+    if (state.last_stored) {
+        state.last_stored->delivered = !retry;
     }
 }
 
-/// Gathers, stores and sends the next window that is due.
-loop::task<void> report_next(reporter& one) {
-    auto self = one.self;
+/// Collects, stores and sends the counts of the next window that is due.
+loop::task<void> report_next(reporter_state& state) {
+    auto self = state.self;
     const auto rules = rules_for(self->settings.duties->usage_due);
-    const auto last =
-        one.newest->revision == 0 ? std::nullopt : std::optional(one.newest->report.window);
-    const auto window =
-        next_window(self->usage, last, one.first, self->clock.wall_now().unix_ms, rules);
+    const auto last = state.last_stored->revision == 0
+                          ? std::nullopt
+                          : std::optional(state.last_stored->report.window);
+    const auto window = next_window_to_report(self->usage, last, state.first_window,
+                                              self->clock.wall_now().unix_ms, rules);
     if (!window) {
         co_return;
     }
-    const bool whole = co_await gather_counts(self, *window);
-    const bool late = is_late(self->usage, *window, self->clock.wall_now().unix_ms, rules);
-    if ((!whole && !late) || !leads(*self)) {
+    const bool complete = co_await gather_counts(self, *window);
+    const bool cutoff_passed =
+        past_cutoff(self->usage, *window, self->clock.wall_now().unix_ms, rules);
+    if ((!complete && !cutoff_passed) || !is_leader(*self)) {
         co_return;
     }
-    const bool stored = co_await store_report(one, *window);
-    if (stored && leads(*self)) {
-        co_await send_report(one);
+    const bool stored = co_await store_report(state, *window);
+    if (stored && is_leader(*self)) {
+        co_await send_report(state);
     }
 }
 
-loop::task<void> step(reporter& one) {
-    if (one.fence != one.self->lead.view.fence) {
-        one.fence = one.self->lead.view.fence;
-        one.newest.reset();
+loop::task<void> advance(reporter_state& state) {
+    if (state.fence != state.self->lead.view.fence) {
+        state.fence = state.self->lead.view.fence;
+        state.last_stored.reset();
     }
-    if (!one.newest) {
-        const bool known = co_await read_newest(one);
-        if (!known || !leads(*one.self)) {
+    if (!state.last_stored) {
+        const bool was_read = co_await read_last_stored(state);
+        if (!was_read || !is_leader(*state.self)) {
             co_return;
         }
     }
-    if (one.newest->revision != 0 && !one.newest->accepted) {
-        co_await send_report(one);
+    if (state.last_stored->revision != 0 && !state.last_stored->delivered) {
+        co_await send_report(state);
         co_return;
     }
-    co_await report_next(one);
+    co_await report_next(state);
 }
 
-loop::task<void> run(std::shared_ptr<reporter> one) {
-    auto self = one->self;
-    one->first = window_at(self->usage, self->clock.wall_now().unix_ms);
+loop::task<void> run(std::shared_ptr<reporter_state> state) {
+    auto self = state->self;
+    state->first_window = window_at(self->usage, self->clock.wall_now().unix_ms);
     for (;;) {
         co_await wait_for_lease(self);
-        if (leads(*self)) {
-            co_await step(*one);
+        if (is_leader(*self)) {
+            co_await advance(*state);
         }
-        co_await loop::pause_for(self->io, look_every);
+        co_await loop::pause_for(self->io, check_interval);
     }
 }
 
@@ -163,7 +169,8 @@
 
 void start_usage_reports(const std::shared_ptr<host>& self) {
     if (self->settings.duties && self->settings.duties->reports_usage) {
-        loop::asio::co_spawn(self->io, run(std::make_shared<reporter>(self)), loop::asio::detached);
+        loop::asio::co_spawn(self->io, run(std::make_shared<reporter_state>(self)),
+                             loop::asio::detached);
     }
 }
 
--- a/src/front/usage_reporter.hpp
+++ b/src/front/usage_reporter.hpp
@@ -6,12 +6,12 @@
 
 namespace cornelloom::front {
 
-/// Reports the requests of client accounts to the platform, window by window, while this process
-/// leads.
+/// Starts to report the requests of client accounts to the platform, window by window, while this
+/// process is the leader.
 ///
-/// Failure it is made for: the leader dies or is cut off between two tries to report a window, and
-/// the next one has counted differently; the platform would have two reports. So what is reported
-/// is first stored under a condition, and every leader sends what is stored.
+/// If a leader crashes or is disconnected between two attempts to report a window, the next leader
+/// may have different counts, and the platform would get two different reports. Each report is
+/// therefore first stored by a conditional write, and every leader sends the stored report.
 void start_usage_reports(const std::shared_ptr<host>& self);
 
 } // namespace cornelloom::front
--- a/tests/front/order_lease_tests.cpp
+++ b/tests/front/order_lease_tests.cpp
@@ -15,123 +15,127 @@
 
 } // namespace
 
-TEST_CASE("a host that takes the lease over waits until the holder before can't order any more",
+TEST_CASE("a new holder waits until the previous holder can no longer send orders",
           "[front][order_lease]") {
-    // Two holders that order one target within three seconds of each other undo each other's work.
-    // The holder before is cut off: it renewed last just before the other host saw that renewal.
+    // Two holders that send orders to a target within three seconds undo each other's loads. The
+    // previous holder is disconnected; its last renewal was sent just before the other host read
+    // it.
     const lease_rules rules;
     lease_view view;
-    note_seen(view, 7, "host-a", start);
-    CHECK(next_step(view, rules, "host-b", start + rules.silent - 1ms) == lease_step::none);
-    CHECK(next_step(view, rules, "host-b", start + rules.silent) == lease_step::take);
-    note_written(view, rules, 8, "host-b", start + rules.silent);
+    record_lease_read(view, 7, "host-a", start);
+    CHECK(next_lease_action(view, rules, "host-b", start + rules.takeover_timeout - 1ms) ==
+          lease_action::none);
+    CHECK(next_lease_action(view, rules, "host-b", start + rules.takeover_timeout) ==
+          lease_action::acquire);
+    record_lease_write(view, rules, 8, "host-b", start + rules.takeover_timeout);
     CHECK(view.fence == 8);
-    CHECK_FALSE(may_order(view, rules, "host-b", start + rules.silent));
-    CHECK(view.orders_from == start + rules.valid + rules.turn);
+    CHECK_FALSE(may_send_orders(view, rules, "host-b", start + rules.takeover_timeout));
+    CHECK(view.orders_allowed_from == start + rules.validity + rules.handover_delay);
 }
 
-TEST_CASE("a holder that was suspended orders nothing when it wakes", "[front][order_lease]") {
-    // The holder stands still for four seconds with an order about to leave. Another host has taken
-    // over meanwhile. Its time line counts the suspension, so its right has run out when it wakes.
+TEST_CASE("a holder that was suspended sends no orders when it resumes", "[front][order_lease]") {
+    // The holder is suspended for four seconds just before it sends an order, and another host
+    // takes over meanwhile. The holder's clock includes the suspension, so its lease has expired.
     const lease_rules rules;
     lease_view view;
-    note_written(view, rules, 3, "host-a", start);
-    CHECK(may_order(view, rules, "host-a", start + 1s));
-    CHECK_FALSE(may_order(view, rules, "host-a", start + 4s));
+    record_lease_write(view, rules, 3, "host-a", start);
+    CHECK(may_send_orders(view, rules, "host-a", start + 1s));
+    CHECK_FALSE(may_send_orders(view, rules, "host-a", start + 4s));
 }
 
-TEST_CASE("a restarted holder goes on at once with a new fence", "[front][order_lease]") {
-    // The process of the holder was killed and started again on its host: the same holder, so no
-    // turn is taken, but it knows nothing of the orders before and needs a fence of its own.
+TEST_CASE("a restarted holder continues at once with a new fencing token", "[front][order_lease]") {
+    // The holder's process was killed and restarted on the same host. The holder is the same, so
+    // there is no handover delay, but the process doesn't know the earlier orders and needs a new
+    // token.
     const lease_rules rules;
     lease_view view;
-    note_seen(view, 12, "host-a", start);
-    CHECK(next_step(view, rules, "host-a", start) == lease_step::take);
-    note_written(view, rules, 13, "host-a", start + 5ms);
+    record_lease_read(view, 12, "host-a", start);
+    CHECK(next_lease_action(view, rules, "host-a", start) == lease_action::acquire);
+    record_lease_write(view, rules, 13, "host-a", start + 5ms);
     CHECK(view.fence == 13);
-    CHECK(may_order(view, rules, "host-a", start + 6ms));
+    CHECK(may_send_orders(view, rules, "host-a", start + 6ms));
 }
 
-TEST_CASE("a holder that the store doesn't answer renews through a peer in time",
+TEST_CASE("a holder without connection to the store has time to renew through a peer",
           "[front][order_lease]") {
-    // New weights are named and no target loads them for four seconds; a step finds only old ones
-    // and comes late. The holder was cut off from the store, though its peers were not. It waited
-    // for an answer to its renewal until another host had taken over, which then had to wait for
-    // the last order of the holder before.
+    // Guards against four seconds without loads after a version is published, which makes a step
+    // late. The holder was disconnected from the store, its peers were not. It waited for the
+    // answer to its renewal until another host took over, which then had to wait for the handover
+    // delay.
     const lease_rules rules;
     lease_view view;
-    note_written(view, rules, 3, "host-a", start);
-    const auto tried = start + rules.renew_every;
-    REQUIRE(next_step(view, rules, "host-a", tried) == lease_step::renew);
-    const auto tried_again = tried + rules.answer_most;
-    SECTION("its right lasts until it tries again") {
-        CHECK(may_order(view, rules, "host-a", tried_again - 1ms));
+    record_lease_write(view, rules, 3, "host-a", start);
+    const auto first_attempt = start + rules.renew_interval;
+    REQUIRE(next_lease_action(view, rules, "host-a", first_attempt) == lease_action::renew);
+    const auto second_attempt = first_attempt + rules.renewal_timeout;
+    SECTION("the lease is valid until the second attempt") {
+        CHECK(may_send_orders(view, rules, "host-a", second_attempt - 1ms));
     }
-    SECTION("no other host has taken over when the second try is answered") {
+    SECTION("no other host takes over before the second attempt is answered") {
         lease_view other;
-        note_seen(other, 3, "host-a", start);
-        CHECK(next_step(other, rules, "host-b", tried_again + rules.answer_most) ==
-              lease_step::none);
+        record_lease_read(other, 3, "host-a", start);
+        CHECK(next_lease_action(other, rules, "host-b", second_attempt + rules.renewal_timeout) ==
+              lease_action::none);
     }
 }
 
-TEST_CASE("renewals keep the fence", "[front][order_lease]") {
+TEST_CASE("renewals keep the fencing token", "[front][order_lease]") {
     const lease_rules rules;
     lease_view view;
-    note_written(view, rules, 3, "host-a", start);
-    CHECK(next_step(view, rules, "host-a", start + rules.renew_every) == lease_step::renew);
-    note_written(view, rules, 9, "host-a", start + rules.renew_every);
+    record_lease_write(view, rules, 3, "host-a", start);
+    CHECK(next_lease_action(view, rules, "host-a", start + rules.renew_interval) ==
+          lease_action::renew);
+    record_lease_write(view, rules, 9, "host-a", start + rules.renew_interval);
     CHECK(view.fence == 3);
     CHECK(view.revision == 9);
 }
 
-TEST_CASE("a stale read never turns the lease back", "[front][order_lease]") {
-    // Cheap reads may show the lease as it was seconds ago; the holder must not believe it lost it.
+TEST_CASE("a stale read never reverts the lease", "[front][order_lease]") {
+    // Stale reads may return the lease as it was seconds ago; the holder must not take it for lost.
     const lease_rules rules;
     lease_view view;
-    note_written(view, rules, 9, "host-a", start);
-    note_seen(view, 5, "host-b", start + 100ms);
+    record_lease_write(view, rules, 9, "host-a", start);
+    record_lease_read(view, 5, "host-b", start + 100ms);
     CHECK(view.holder == "host-a");
-    CHECK(may_order(view, rules, "host-a", start + 200ms));
+    CHECK(may_send_orders(view, rules, "host-a", start + 200ms));
 }
 
-TEST_CASE("orders of two hosts are never closer than a turn, whatever is lost or late",
-          "[front][order_lease]") {
-    rc::prop("for any pauses, cuts and reads", [] {
+TEST_CASE("orders of two hosts are never closer than the handover delay", "[front][order_lease]") {
+    rc::prop("for any suspensions, lost messages and stale reads", [] {
         const lease_rules rules;
-        struct object {
+        struct stored_lease {
             std::uint64_t revision = 0;
             std::string holder;
         };
-        object stored;
+        stored_lease current;
         std::array<lease_view, 3> views{};
         const std::array<std::string, 3> names{"host-a", "host-b", "host-c"};
-        std::optional<std::pair<std::size_t, time_point>> last;
+        std::optional<std::pair<std::size_t, time_point>> last_order;
         time_point now = start;
-        const auto moves = *rc::gen::container<std::vector<std::pair<int, int>>>(
+        const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
             400, rc::gen::pair(rc::gen::inRange(0, 3), rc::gen::inRange(0, 10)));
-        for (const auto& [who, luck] : moves) {
-            now += std::chrono::milliseconds(40 + 30 * luck);
-            const auto self = static_cast<std::size_t>(who);
+        for (const auto& [host_index, event] : steps) {
+            now += std::chrono::milliseconds(40 + 30 * event);
+            const auto self = static_cast<std::size_t>(host_index);
             auto& view = views[self];
-            if (luck == 0) {
-                continue; // cut off or suspended
+            if (event == 0) {
+                continue; // disconnected or suspended
             }
-            if (luck < 6) {
-                note_seen(view, stored.revision, stored.holder, now);
+            if (event < 6) {
+                record_lease_read(view, current.revision, current.holder, now);
             }
-            const auto step = next_step(view, rules, names[self], now);
-            if (step != lease_step::none && view.revision == stored.revision) {
-                stored = {stored.revision + 1, names[self]};
-                if (luck != 9) { // else the answer is lost
-                    note_written(view, rules, stored.revision, names[self], now);
+            const auto step = next_lease_action(view, rules, names[self], now);
+            if (step != lease_action::none && view.revision == current.revision) {
+                current = {current.revision + 1, names[self]};
+                if (event != 9) { // otherwise the response is lost
+                    record_lease_write(view, rules, current.revision, names[self], now);
                 }
             }
-            if (may_order(view, rules, names[self], now)) {
-                if (last && last->first != self) {
-                    RC_ASSERT(now - last->second >= rules.turn);
+            if (may_send_orders(view, rules, names[self], now)) {
+                if (last_order && last_order->first != self) {
+                    RC_ASSERT(now - last_order->second >= rules.handover_delay);
                 }
-                last = {self, now};
+                last_order = {self, now};
             }
         }
     });
--- a/tests/front/target_supply_tests.cpp
+++ b/tests/front/target_supply_tests.cpp
@@ -20,15 +20,15 @@
 
 } // namespace
 
-TEST_CASE("targets are ordered for the peak of bursts, with headroom", "[front][target_supply]") {
+TEST_CASE("targets are ordered for the peak demand, with headroom", "[front][target_supply]") {
     const auto zones = three_zones(8);
-    // 4 trainers of 160 items at once on targets of 8 slots: 80 targets without headroom.
+    // 4 trainers with 160 items each on targets with 8 slots: 80 targets without headroom.
     CHECK(sum(plan_supply(bounds, zones, {160, 8})) >= 24);
-    CHECK(sum(plan_supply(bounds, zones, {180, 8})) == static_cast<int>(180 * supply_headroom / 8));
+    CHECK(sum(plan_supply(bounds, zones, {180, 8})) == static_cast<int>(180 * headroom_factor / 8));
     CHECK(sum(plan_supply(bounds, zones, {640, 8})) == 48);
 }
 
-TEST_CASE("no zone gets more than the platform allows, nor less than it has",
+TEST_CASE("the count of a zone stays between its current targets and the platform's limit",
           "[front][target_supply]") {
     const auto zones = std::vector<zone_supply>{{"a", 16, 0}, {"b", 3, 5}, {"c", 1, 0}};
     CHECK(plan_supply(bounds, zones, {0, 8}) == std::vector{16, 5, 1});
@@ -37,13 +37,13 @@
     }
 }
 
-TEST_CASE("targets that crashed are replaced up to what was ordered", "[front][target_supply]") {
-    // Guards against an order that asks for what is left after a loss.
+TEST_CASE("crashed targets are replaced up to the ordered count", "[front][target_supply]") {
+    // Guards against lowering the ordered count to the targets that are left after a crash.
     const auto zones = std::vector<zone_supply>{{"a", 2, 9}, {"b", 9, 9}};
     CHECK(plan_supply(bounds, zones, {0, 8}) == std::vector{9, 9});
 }
 
-TEST_CASE("new targets go where the fewest are, and of equals to the cheapest zone",
+TEST_CASE("new targets go to the zone with the fewest targets, among equals to the cheapest",
           "[front][target_supply]") {
     const auto even = plan_supply(bounds, three_zones(8), {100, 8});
     CHECK(even == std::vector{8, 9, 8});
--- a/tests/front/targets_tests.cpp
+++ b/tests/front/targets_tests.cpp
@@ -29,108 +29,109 @@
 
 const std::map<std::string, std::string, std::less<>> regions{
     {"zone-a", "east"}, {"zone-b", "east"}, {"zone-c", "west"}};
-const distance here{1, "zone-a", &regions};
+const distance origin{1, "zone-a", &regions};
 
 } // namespace
 
-TEST_CASE("a burst of short requests is spread over the targets", "[front][targets]") {
+TEST_CASE("a burst of short requests is balanced over the targets", "[front][targets]") {
     auto table = make_table(4);
     for (int at = 0; at < 24; ++at) {
-        ++choose_plain(table, "pages", here, {}, now)->running;
+        ++choose_plain(table, "pages", origin, {}, now)->running;
     }
     for (const auto& [id, target] : table.by_id) {
         CHECK(target.running == 6);
     }
 }
 
-TEST_CASE("one slow target does not hold up short requests", "[front][targets]") {
-    // One target answers in 200 ms where the others take 25: round robin would make every fourth
-    // page late.
+TEST_CASE("short requests avoid a slow target", "[front][targets]") {
+    // One target answers in 200 ms, the others in 25 ms: round robin would delay every fourth
+    // request.
     auto table = make_table(4);
     for (auto& [id, target] : table.by_id) {
         note_answer(target, 25);
     }
     note_answer(table.by_id["target-2"], 900);
     for (int at = 0; at < 12; ++at) {
-        auto* chosen = choose_plain(table, "pages", here, {}, now);
+        auto* chosen = choose_plain(table, "pages", origin, {}, now);
         CHECK(chosen->entry.id != "target-2");
         ++chosen->running;
     }
 }
 
-TEST_CASE("a target that fails part of its requests goes to the end of the line",
-          "[front][targets]") {
-    // Its health answers are good and it answers quickly when it answers: only the failures of
-    // requests show that something is wrong.
+TEST_CASE("a target with intermittent failures is ranked last", "[front][targets]") {
+    // The target passes health checks and answers quickly when it answers, so only failed requests
+    // show the fault.
     auto table = make_table(3);
     for (auto& [id, target] : table.by_id) {
         note_answer(target, 25);
     }
-    auto& grey = table.by_id["target-1"];
+    auto& failing = table.by_id["target-1"];
     for (int at = 0; at < 3; ++at) {
-        note_fault(grey, now);
-        note_answer(grey, 5);
+        note_fault(failing, now);
+        note_answer(failing, 5);
     }
-    CHECK(choose_plain(table, "pages", here, {}, now + 10s)->entry.id != "target-1");
+    CHECK(choose_plain(table, "pages", origin, {}, now + 10s)->entry.id != "target-1");
 }
 
-TEST_CASE("an avoided target is better than none", "[front][targets]") {
+TEST_CASE("a target in backoff is used if there is no other", "[front][targets]") {
     auto table = make_table(1);
     note_fault(table.by_id["target-0"], now);
-    CHECK(choose_plain(table, "pages", here, {}, now) != nullptr);
-    CHECK(choose_plain(table, "pages", here, {"target-0"}, now) == nullptr);
+    CHECK(choose_plain(table, "pages", origin, {}, now) != nullptr);
+    CHECK(choose_plain(table, "pages", origin, {"target-0"}, now) == nullptr);
 }
 
-TEST_CASE("targets of the own region go first until they are busy", "[front][targets]") {
+TEST_CASE("targets in the same region are preferred until they are busy", "[front][targets]") {
     target_table table;
     put_target(table, entry("near", "zone-a"), now);
     put_target(table, entry("far", "zone-c"), now);
-    CHECK(choose_plain(table, "pages", here, {}, now)->entry.id == "near");
+    CHECK(choose_plain(table, "pages", origin, {}, now)->entry.id == "near");
     table.by_id["near"].running = 20;
-    CHECK(choose_plain(table, "pages", here, {}, now)->entry.id == "far");
+    CHECK(choose_plain(table, "pages", origin, {}, now)->entry.id == "far");
 }
 
-TEST_CASE("living targets that the list lost in an outage keep their work", "[front][targets]") {
-    // The platform's store was away for five seconds and heartbeats lapsed meanwhile. All targets
-    // vanish from the list and are back within two seconds; refusing everything until then would
-    // lose seconds of service for nothing.
+TEST_CASE("targets missing from the list after a platform outage are kept for a grace period",
+          "[front][targets]") {
+    // The platform's store was unavailable for five seconds and heartbeats expired meanwhile. All
+    // targets disappear from the list and return within two seconds; dropping them would reject all
+    // requests until then.
     auto table = make_table(3);
     note_return(table, now);
     replace_targets(table, {entry("target-1")}, now);
     CHECK(table.by_id.size() == 3);
-    SECTION("one that is back stays") {
+    SECTION("a target that is listed again stays") {
         put_target(table, entry("target-0"), now + 1s);
         expire_vanished(table, now + 3s);
         CHECK(table.by_id.contains("target-0"));
     }
-    SECTION("one that is still missing is gone") {
+    SECTION("a target that is still missing is removed") {
         expire_vanished(table, now + 2s);
         CHECK(table.by_id.contains("target-2"));
-        expire_vanished(table, now + lapsed_entry_grace);
+        expire_vanished(table, now + removal_grace_period);
         CHECK_FALSE(table.by_id.contains("target-2"));
     }
-    SECTION("and a removal later on counts at once") {
+    SECTION("a removal after the grace period takes effect at once") {
         remove_target(table, "target-1", now + 3s);
         CHECK_FALSE(table.by_id.contains("target-1"));
     }
 }
 
-TEST_CASE("targets that a shrinking service takes away together are gone at once",
+TEST_CASE("targets that are removed together by scaling down are dropped at once",
           "[front][targets]") {
-    // An operator empties three targets in one second; 2.6 s later one of them still gets items and
-    // ends them half done. The removals came in one batch of news and were taken for heartbeats
-    // that an outage had lost, though the store had answered all the while.
+    // Guards against sending items to stopped targets. Three targets were drained within one
+    // second; 2.6 s later one of them still got items and ended them incomplete. The removals
+    // arrived in one update and were taken for heartbeats that expired in an outage, although the
+    // store had been available all the time.
     CHECK_FALSE(have_lapsed(3, 60s, 4s));
     CHECK_FALSE(have_lapsed(3, 3s, 4s));
-    SECTION("after an outage they are not trusted") {
+    SECTION("after an outage they are taken for expired entries") {
         CHECK(have_lapsed(3, 500ms, 4s));
     }
-    SECTION("one alone has left, outage or not") {
+    SECTION("a single removal is never taken for an expired entry") {
         CHECK_FALSE(have_lapsed(1, 500ms, 4s));
     }
 }
 
-TEST_CASE("a target that starts again under its id is a new one", "[front][targets]") {
+TEST_CASE("a restarted target loses its statistics", "[front][targets]") {
     auto table = make_table(1);
     note_answer(table.by_id["target-0"], 300);
     auto again = entry("target-0");
@@ -139,7 +140,7 @@
     CHECK(table.by_id["target-0"].latency_ms == 0);
 }
 
-TEST_CASE("an older state of an entry never replaces a newer one", "[front][targets]") {
+TEST_CASE("an older revision of an entry never replaces a newer one", "[front][targets]") {
     target_table table;
     auto newer = entry("target-0");
     newer.revision = 9;
@@ -151,7 +152,7 @@
     CHECK(table.by_id["target-0"].entry.draining);
 }
 
-TEST_CASE("the longest prefix of the host selects the route", "[front][routing]") {
+TEST_CASE("the route with the longest matching prefix is selected", "[front][routing]") {
     configuration source;
     for (const auto* prefix : {"/", "/pages/", "/pages/lots/"}) {
         route one;
@@ -168,7 +169,7 @@
     CHECK(find_route(*index, "nobody.example", "/pages/") == nullptr);
 }
 
-TEST_CASE("shares of a route's traffic follow their weights", "[front][routing]") {
+TEST_CASE("traffic is split among services by their weights", "[front][routing]") {
     route split;
     split.services = {{"old", 90}, {"new", 10}};
     int fresh = 0;
@@ -180,20 +181,22 @@
     CHECK(choose_service(split, "request-1") == choose_service(split, "request-1"));
 }
 
-TEST_CASE("the steady pace of a target outlasts chance and an impairment", "[front][targets]") {
-    // Texts were moved to and fro between targets of the same speed: a mean over ten events differs
-    // by a fifth from chance alone, and over a long text that looks like a second to be won.
+TEST_CASE("the long-term event interval is robust against noise and a temporary slowdown",
+          "[front][targets]") {
+    // Guards against moving streams back and forth between targets of the same speed. An average
+    // over ten events varies by a fifth from noise alone, which over a long text looks like a
+    // second saved.
     target_state target;
     for (int event = 0; event < 100; ++event) {
         note_event_gap(target, event % 2 == 0 ? 60 : 40);
     }
     CHECK(likely_pace(target) == Approx(50).epsilon(0.05));
-    SECTION("while it is impaired the newest events count") {
+    SECTION("during a slowdown the newest events count") {
         for (int event = 0; event < 30; ++event) {
             note_event_gap(target, 170);
         }
         CHECK(likely_pace(target) > 150);
-        SECTION("and afterwards it has its old pace again") {
+        SECTION("after the slowdown the long-term interval counts again") {
             for (int event = 0; event < 30; ++event) {
                 note_event_gap(target, 50);
             }
