--- a/src/front/batch_desk.hpp
+++ b/src/front/batch_desk.hpp
@@ -10,56 +10,58 @@
 
 namespace cornelloom::front {
 
-/// The batches that this host knows, and the calls that callers and peers make on them.
+/// The batches that this host knows.
 ///
-/// Any host answers for any batch. The owner answers from memory; another host asks the owner, and
-/// when the owner does not answer, takes the batch over: the reads of the caller who waits for it
-/// are the sign of life that a batch needs, so hosts need no heartbeats for it.
+/// Any host serves calls on any batch. The owner answers from memory. Another host forwards the
+/// call to the owner and takes the batch over if the owner does not answer. A lost owner is noticed
+/// when the batch's caller next reads results, so hosts exchange no heartbeats for batches.
 struct batch_desk {
     explicit batch_desk(std::shared_ptr<host> owner) : self(std::move(owner)) {}
 
     std::shared_ptr<host> self;
     std::map<std::string, live_batch_ptr, std::less<>> known{};
-    /// Owners of batches that this host has not loaded.
+    /// Owners of batches that this host has not loaded, by batch id.
     std::map<std::string, transport::endpoint, std::less<>> owners{};
     std::map<std::string, std::shared_ptr<loop::gate>, std::less<>> loading{};
 };
 
-/// A call on a batch, by a caller or (`by_peer`) passed on by another host.
-loop::task<void> serve_batch_call(std::shared_ptr<batch_desk> desk, loop::served_request& request,
-                                  batch_call call, bool by_peer);
+/// Serves a call on a batch, from a caller or (`by_peer`) forwarded by another host.
+loop::task<void> serve_batch_call(std::shared_ptr<batch_desk> registry,
+                                  loop::served_request& request, batch_call call, bool by_peer);
 
-/// A peer hands a batch over, or announces that it owns one.
-loop::task<void> adopt_batch(std::shared_ptr<batch_desk> desk, std::string id);
-void note_owner(batch_desk& desk, std::string id, transport::endpoint owner);
+/// Serves a peer's call that hands a batch over to this host.
+loop::task<void> adopt_batch(std::shared_ptr<batch_desk> registry, std::string id);
+/// Remembers the owner that a peer has announced for a batch.
+void note_owner(batch_desk& registry, std::string id, transport::endpoint owner);
 
-/// Loads a batch once, however many calls ask for it.
-loop::task<loaded_batch> get_batch(std::shared_ptr<batch_desk> desk, std::string id);
+/// Returns a known batch or loads it. Concurrent calls for the same batch share one load.
+loop::task<loaded_batch> get_batch(std::shared_ptr<batch_desk> registry, std::string id);
 
-/// Makes this host the owner, unless the batch is over or another host was quicker. `reason` is for
-/// the log.
-loop::task<void> take_over(live_batch_ptr one, std::string reason);
+/// Makes this host the owner and starts the batch, unless the batch is over or another host takes
+/// it over first. `reason` is only logged.
+loop::task<void> take_over(live_batch_ptr batch, std::string reason);
 
-/// A call of this host on a peer, about one batch.
+/// The request for a call on a peer about the batch with this id.
 [[nodiscard]] transport::http_request peer_call(std::string_view path, const std::string& id);
 
-/// Forgets batches that nobody has asked for in a while; they can be loaded again.
-void forget_unused(batch_desk& desk);
+/// Evicts batches that this host doesn't own and that have not been used for a while. They can be
+/// loaded again.
+void forget_unused(batch_desk& registry);
 
-/// What an owner may take beyond the wait of a read: two round trips between regions and a slice of
-/// processor time on a small host.
+/// How long an owner may take to answer beyond the wait that a read asks for: two round trips
+/// between regions and a scheduling delay on a small host.
 inline constexpr milliseconds owner_allowance{700};
 inline constexpr loop::milliseconds owner_connect{300};
 
-/// Items that this host has in work, waiting or running, by model.
+/// Counts the waiting and running items of the batches that this host owns, by model.
 [[nodiscard]] std::map<std::string, std::uint64_t, std::less<>>
-items_in_work(const batch_desk& desk);
+items_in_work(const batch_desk& registry);
 
 /// Paths of the calls between hosts.
 inline constexpr std::string_view adopt_path = "/batches/adopt";
 inline constexpr std::string_view owner_path = "/batches/owner";
 inline constexpr std::string_view passed_path = "/batches/passed";
-/// Tells the owner of a batch the client account of a call that is passed on.
+/// Carries the client account of a forwarded call to the owner of the batch.
 inline constexpr std::string_view account_header = "Cornelloom-Account";
 
 } // namespace cornelloom::front
--- a/src/front/batch_drive.cpp
+++ b/src/front/batch_drive.cpp
@@ -10,276 +10,286 @@
 
 namespace {
 
-/// How often runs are judged and waiting items are tried again: a quarter of the shortest silence
-/// that counts, and far below the time of an item.
-constexpr milliseconds tick{200};
-constexpr flush_rules flushing{};
-/// A target that leaves serves for some seconds more; what still runs there then moves.
-constexpr milliseconds leave_after{1500};
-/// A log entry that can't be stored for so long is built anew, with what has finished meanwhile.
-constexpr milliseconds append_patience{3000};
+/// How often runs are checked and waiting items are tried again: less than a quarter of the
+/// silence after which a started run is moved, and far less than the duration of an item.
+constexpr milliseconds check_interval{200};
+constexpr flush_rules flush_policy{};
+/// A draining target keeps serving for a few seconds. Runs that are still there after this delay
+/// are moved to other targets.
+constexpr milliseconds draining_grace{1500};
+/// A log entry that cannot be stored within this time is rebuilt, so that it includes the results
+/// that have arrived since.
+constexpr milliseconds append_timeout{3000};
 
-/// Texts are placed by a length that one in ten exceeds: it is the longest that make a step late.
-constexpr double tail = 0.1;
+/// Items are placed by a length that one text in ten exceeds, because the longest texts are what
+/// makes a step late.
+constexpr double length_tail = 0.1;
 
-text_outlook outlook_of(const batch_item& item, const item_state& state) {
+text_progress text_progress_of(const batch_item& item, const item_state& state) {
     return {expected_tokens(item), static_cast<double>(item.tokens_out_most),
             static_cast<double>(state.done.last_event)};
 }
 
-/// Whether the item is left waiting for a quicker target than the best one with room.
-bool waits_for_quicker(placement_round& round, item_state& state, const run_need& need,
-                       const target_state& now_free) {
-    const bool first = state.passed_over == time_point{};
-    const bool patient = first || round.now - state.passed_over < quick_wait_most;
-    if (!patient || !better_soon(round, need, now_free)) {
+/// Whether the item should keep waiting for a faster target instead of taking `available`, the best
+/// one with capacity.
+bool waits_for_faster(placement_round& round, item_state& state,
+                      const run_requirements& requirements, const target_state& available) {
+    const bool first_wait = state.passed_over == time_point{};
+    const bool may_wait = first_wait || round.now - state.passed_over < max_wait_for_faster;
+    if (!may_wait || !faster_target_soon(round, requirements, available)) {
         return false;
     }
-    state.passed_over = first ? round.now : state.passed_over;
+    state.passed_over = first_wait ? round.now : state.passed_over;
     return true;
 }
 
-run_need need_of(const live_batch& one, const batch_item& item, const item_state& state,
-                 const route& way) {
-    run_need need;
-    need.service = choose_service(way, item.id);
-    need.model = item.model;
-    need.oldest_version = one.state.spec.oldest_version;
-    if (way.single_version && !state.done.versions.empty()) {
-        need.exact_version = state.done.versions.back();
+run_requirements requirements_of(const live_batch& batch, const batch_item& item,
+                                 const item_state& state, const route& item_route) {
+    run_requirements requirements;
+    requirements.service = choose_service(item_route, item.id);
+    requirements.model = item.model;
+    requirements.oldest_version = batch.state.spec.oldest_version;
+    if (item_route.single_version && !state.done.versions.empty()) {
+        requirements.exact_version = state.done.versions.back();
     }
-    need.events_left =
-        events_left(find_lengths(one.self->lengths, item.model), outlook_of(item, state), tail);
-    return need;
+    requirements.events_left = events_left(find_length_model(batch.self->lengths, item.model),
+                                           text_progress_of(item, state), length_tail);
+    return requirements;
 }
 
-/// Gives waiting items to targets, the most urgent first.
-void dispatch(const live_batch_ptr& one, placement_round& round) {
-    auto& self = *one->self;
-    for (const auto index : startable(one->state, round.now)) {
-        auto& state = one->state.items[index];
-        const auto& item = one->state.spec.items[index];
+/// Starts waiting items on targets, the most urgent first.
+void dispatch_items(const live_batch_ptr& batch, placement_round& round) {
+    auto& self = *batch->self;
+    for (const auto index : startable(batch->state, round.now)) {
+        auto& state = batch->state.items[index];
+        const auto& item = batch->state.spec.items[index];
         if (state.done.whole) {
             state.phase = item_phase::scoring;
-            loop::asio::co_spawn(self.io, score_item(one, index), loop::asio::detached);
+            loop::asio::co_spawn(self.io, score_item(batch, index), loop::asio::detached);
             continue;
         }
-        const auto* way = route_of_item(*one, item);
-        if (way == nullptr) {
+        const auto* item_route = route_of_item(*batch, item);
+        if (item_route == nullptr) {
             if (self.routes) {
-                give_up_item(*one, index, "no route");
+                give_up_item(*batch, index, "no route for the item");
             }
             continue;
         }
-        auto need = need_of(*one, item, state, *way);
-        auto* target = choose_run(round, need);
-        if (target == nullptr && need.exact_version > 0) {
-            // No target has the version that the text began with: it begins anew.
+        auto requirements = requirements_of(*batch, item, state, *item_route);
+        auto* target = choose_target(round, requirements);
+        if (target == nullptr && requirements.exact_version > 0) {
+            // No target has the version that began the text, so the text is generated from the
+            // start.
             state.done = {};
-            need.exact_version = 0;
-            target = choose_run(round, need);
+            requirements.exact_version = 0;
+            target = choose_target(round, requirements);
         }
-        if (target == nullptr || waits_for_quicker(round, state, need, *target)) {
+        if (target == nullptr || waits_for_faster(round, state, requirements, *target)) {
             continue;
         }
         state.passed_over = {};
         state.phase = item_phase::running;
-        // Counted here: the next item of this burst must see it.
+        // Counted here rather than in run_item(), so that the next item of this burst sees it.
         ++target->running;
         ++target->unstarted;
-        loop::asio::co_spawn(self.io, run_item(one, index, target->entry.id), loop::asio::detached);
+        loop::asio::co_spawn(self.io, run_item(batch, index, target->entry.id),
+                             loop::asio::detached);
     }
 }
 
-run_progress progress_of(const live_batch& one, std::size_t index, const item_run& run) {
-    const auto now = one.self->now();
-    run_progress out;
-    out.silent_ms = ms_between(run.last_event, now);
-    out.started = run.events > 0;
-    out.due_ms = ms_between(now, deadline_of(one));
-    out.moved_late = one.state.items[index].moved_late;
-    return out;
+run_progress run_progress_of(const live_batch& batch, std::size_t index, const item_run& run) {
+    const auto now = batch.self->now();
+    run_progress progress;
+    progress.silent_ms = ms_between(run.last_event, now);
+    progress.started = run.events > 0;
+    progress.ms_to_deadline = ms_between(now, deadline_of(batch));
+    progress.moved_late = batch.state.items[index].moved_late;
+    return progress;
 }
 
-void move(live_batch& one, std::size_t index, item_run& run, std::string_view why,
-          const run_progress& progress) {
-    note(*one.self, item_run_ended,
-         {{"id", one.state.spec.items[index].id},
+void move_run(live_batch& batch, std::size_t index, item_run& run, std::string_view why,
+              const run_progress& progress) {
+    note(*batch.self, item_run_ended,
+         {{"id", batch.state.spec.items[index].id},
           {"target", run.target},
           {"why", why},
           {"silent_ms", progress.silent_ms},
-          {"due_ms", progress.due_ms}});
-    const kernel::label reason{"reason", why};
-    const kernel::label kind{"kind", "item"};
-    const std::array labels{reason, kind};
-    one.self->metrics.count("cornelloom_retries_total", labels);
+          {"due_ms", progress.ms_to_deadline}});
+    const kernel::label reason_label{"reason", why};
+    const kernel::label kind_label{"kind", "item"};
+    const std::array labels{reason_label, kind_label};
+    batch.self->metrics.count("cornelloom_retries_total", labels);
     run.moving = true;
     run.link->abort();
 }
 
-void judge_runs(live_batch& one, placement_round& round) {
-    auto& self = *one.self;
-    for (auto& [index, run] : one.runs) {
+void check_runs(live_batch& batch, placement_round& round) {
+    auto& self = *batch.self;
+    for (auto& [index, run] : batch.runs) {
         const auto found = self.targets.by_id.find(run.target);
-        const auto* way = route_of_item(one, one.state.spec.items[index]);
-        if (run.moving || way == nullptr) {
+        const auto* item_route = route_of_item(batch, batch.state.spec.items[index]);
+        if (run.moving || item_route == nullptr) {
             continue;
         }
-        const auto progress = progress_of(one, index, run);
+        const auto progress = run_progress_of(batch, index, run);
         if (found == self.targets.by_id.end()) {
-            continue; // its connection shows whether it still serves
+            continue; // left the table; if it stops serving, the connection fails and ends the run
         }
         auto& target = found->second;
-        const bool leaving =
-            target.leaving_since != time_point{} && self.now() - target.leaving_since > leave_after;
-        if (leaving) {
-            move(one, index, run, "leaving", progress);
+        const bool draining_too_long = target.leaving_since != time_point{} &&
+                                       self.now() - target.leaving_since > draining_grace;
+        if (draining_too_long) {
+            move_run(batch, index, run, "leaving", progress);
             continue;
         }
-        const auto need = need_of(one, one.state.spec.items[index], one.state.items[index], *way);
-        switch (judge_run(round, target, progress, need)) {
-        case run_verdict::stay:
+        const auto requirements = requirements_of(batch, batch.state.spec.items[index],
+                                                  batch.state.items[index], *item_route);
+        switch (evaluate_run(round, target, progress, requirements)) {
+        case run_decision::stay:
             break;
-        case run_verdict::move_silent:
+        case run_decision::move_silent:
             note_fault(target, self.now());
-            move(one, index, run, "silent", progress);
+            move_run(batch, index, run, "silent", progress);
             break;
-        case run_verdict::move_slow:
-            move(one, index, run, "slow", progress);
+        case run_decision::move_slow:
+            move_run(batch, index, run, "slow", progress);
             break;
-        case run_verdict::move_late:
-            one.state.items[index].moved_late = true;
-            move(one, index, run, "late", progress);
+        case run_decision::move_late:
+            batch.state.items[index].moved_late = true;
+            move_run(batch, index, run, "late", progress);
             break;
-        case run_verdict::move_queued:
-            move(one, index, run, "queued", progress);
+        case run_decision::move_queued:
+            move_run(batch, index, run, "queued", progress);
             break;
         }
     }
 }
 
-/// Past its retention an item may be given up; its caller has gone long before.
-void give_up_late(live_batch& one) {
-    const auto* way = route_of(one);
-    if (way == nullptr || way->retention == milliseconds::zero() ||
-        one.self->now() < one.state.submitted + way->retention) {
+/// Gives up all unfinished items once the retention period has passed. By then the caller has long
+/// gone.
+void give_up_expired(live_batch& batch) {
+    const auto* batch_route = route_of(batch);
+    if (batch_route == nullptr || batch_route->retention == milliseconds::zero() ||
+        batch.self->now() < batch.state.submitted + batch_route->retention) {
         return;
     }
-    for (std::size_t index = 0; index < one.state.items.size(); ++index) {
-        if (one.state.items[index].phase != item_phase::finished) {
-            give_up_item(one, index, "retention passed");
+    for (std::size_t index = 0; index < batch.state.items.size(); ++index) {
+        if (batch.state.items[index].phase != item_phase::finished) {
+            give_up_item(batch, index, "retention period passed");
         }
     }
-    stop_runs(one);
+    stop_runs(batch);
 }
 
-loop::task<void> flush(live_batch_ptr one) {
-    const auto make = [](const live_batch& now) -> std::optional<log_entry> {
-        if (!now.owned || now.state.waiting.empty()) {
+loop::task<void> flush_log(live_batch_ptr batch) {
+    const auto build_entry = [](const live_batch& current) -> std::optional<log_entry> {
+        if (!current.owned || current.state.waiting.empty()) {
             return std::nullopt;
         }
-        return next_entry(now.state, now.self->settings.value_bytes);
+        return next_entry(current.state, current.self->settings.value_bytes);
     };
-    co_await append_entry(one, make, one->self->now() + append_patience);
+    co_await append_entry(batch, build_entry, batch->self->now() + append_timeout);
 }
 
-/// Reads the log: the caller may have ended the batch at another host, which can't reach this one,
-/// and its items would run on for nobody.
-loop::task<void> read_log(live_batch_ptr one) {
-    auto self = one->self;
-    one->log.asked = self->now();
-    const bool whole = co_await catch_up(one);
-    one->log.asked = {};
-    one->changed.open();
-    if (!whole) {
+/// Reads new log entries. The caller may have ended the batch through another host that cannot
+/// reach this one; without reading the log, its items would keep running for nobody.
+loop::task<void> read_log(live_batch_ptr batch) {
+    auto self = batch->self;
+    batch->log.asked = self->now();
+    const bool caught_up = co_await catch_up(batch);
+    batch->log.asked = {};
+    batch->changed.open();
+    if (!caught_up) {
         co_await loop::pause_for(self->io, store_pause(*self, store_pause_most));
     }
-    one->reading_log = false;
+    batch->reading_log = false;
 }
 
-void keep_log_known(const live_batch_ptr& one) {
-    auto& self = *one->self;
-    if (one->stored && !one->reading_log &&
-        is_log_due(one->log, self.now(), self.settings.cancel)) {
-        one->reading_log = true;
-        loop::asio::co_spawn(self.io, read_log(one), loop::asio::detached);
+void read_log_if_due(const live_batch_ptr& batch) {
+    auto& self = *batch->self;
+    if (batch->stored && !batch->reading_log &&
+        is_log_due(batch->log, self.now(), self.settings.cancel)) {
+        batch->reading_log = true;
+        loop::asio::co_spawn(self.io, read_log(batch), loop::asio::detached);
     }
 }
 
-/// Whether items may be sent now; writes a line when that changes.
-bool may_dispatch(live_batch& one) {
-    const bool held = !may_send_items(one);
-    if (held != one.held) {
-        one.held = held;
-        note(*one.self, batch_held,
-             {{"id", one.state.header.id},
+/// Whether items may be sent now. Logs every change of that.
+bool may_dispatch(live_batch& batch) {
+    const bool held = !may_send_items(batch);
+    if (held != batch.held) {
+        batch.held = held;
+        note(*batch.self, batch_held,
+             {{"id", batch.state.header.id},
               {"held", held},
-              {"log_age_ms", ms_between(one.log.confirmed, one.self->now())},
-              {"entry", one.state.next_entry}});
+              {"log_age_ms", ms_between(batch.log.confirmed, batch.self->now())},
+              {"entry", batch.state.next_entry}});
     }
-    return !held && !one.handing_over;
+    return !held && !batch.handing_over;
 }
 
-loop::task<void> drive(live_batch_ptr one) {
-    auto self = one->self;
-    while (one->owned && !is_over(one->state)) {
-        give_up_late(*one);
+loop::task<void> run_batch(live_batch_ptr batch) {
+    auto self = batch->self;
+    while (batch->owned && !is_over(batch->state)) {
+        give_up_expired(*batch);
         auto round = begin_placement(self->targets, self->here(), self->now());
-        judge_runs(*one, round);
-        keep_log_known(one);
-        if (may_dispatch(*one)) {
-            dispatch(one, round);
+        check_runs(*batch, round);
+        read_log_if_due(batch);
+        if (may_dispatch(*batch)) {
+            dispatch_items(batch, round);
         }
-        const auto due = one->stored ? next_flush(one->state, flushing, deadline_of(*one))
-                                     : std::optional<time_point>{};
-        if (due && *due <= self->now() && !one->appending) {
-            loop::asio::co_spawn(self->io, flush(one), loop::asio::detached);
+        const auto flush_due = batch->stored
+                                   ? next_flush(batch->state, flush_policy, deadline_of(*batch))
+                                   : std::optional<time_point>{};
+        if (flush_due && *flush_due <= self->now() && !batch->appending) {
+            loop::asio::co_spawn(self->io, flush_log(batch), loop::asio::detached);
         }
-        auto wake = self->now() + tick;
-        if (due && !one->appending) {
-            wake = std::min(wake, std::max(*due, self->now() + milliseconds(5)));
+        auto wake_at = self->now() + check_interval;
+        if (flush_due && !batch->appending) {
+            wake_at = std::min(wake_at, std::max(*flush_due, self->now() + milliseconds(5)));
         }
-        co_await one->changed.wait(to_deadline(*self, wake));
+        co_await batch->changed.wait(to_deadline(*self, wake_at));
     }
-    stop_runs(*one);
-    for (const auto& [index, control] : one->scorings) {
+    stop_runs(*batch);
+    for (const auto& [index, control] : batch->scorings) {
         control->cancel();
     }
     note(*self, batch_over,
-         {{"id", one->state.header.id},
-          {"ended", one->state.ended},
-          {"owned", one->owned},
-          {"listed", static_cast<std::uint64_t>(one->state.listed.size())},
-          {"of", static_cast<std::uint64_t>(one->state.spec.items.size())},
-          {"groups", complete_groups(one->state, false)},
-          {"age_ms", ms_between(one->state.submitted, self->now())}});
-    one->owned = false;
+         {{"id", batch->state.header.id},
+          {"ended", batch->state.ended},
+          {"owned", batch->owned},
+          {"listed", static_cast<std::uint64_t>(batch->state.listed.size())},
+          {"of", static_cast<std::uint64_t>(batch->state.spec.items.size())},
+          {"groups", complete_groups(batch->state, false)},
+          {"age_ms", ms_between(batch->state.submitted, self->now())}});
+    batch->owned = false;
 }
 
 } // namespace
 
-void stop_runs(live_batch& one) {
-    for (auto& [index, run] : one.runs) {
+void stop_runs(live_batch& batch) {
+    for (auto& [index, run] : batch.runs) {
         run.moving = true;
         run.link->abort();
     }
 }
 
-void start_driving(const live_batch_ptr& one, std::string_view from, std::string_view why) {
-    if (one->owned) {
+void start_driving(const live_batch_ptr& batch, std::string_view previous_owner,
+                   std::string_view reason) {
+    if (batch->owned) {
         return;
     }
-    one->owned = true;
-    one->used = one->self->now();
-    note(*one->self, batch_taken,
-         {{"id", one->state.header.id},
-          {"from", from},
-          {"why", why},
-          {"entry", one->state.next_entry},
-          {"listed", static_cast<std::uint64_t>(one->state.listed.size())},
-          {"of", static_cast<std::uint64_t>(one->state.spec.items.size())},
-          {"age_ms", ms_between(one->state.submitted, one->self->now())}});
-    loop::asio::co_spawn(one->self->io, drive(one), loop::asio::detached);
+    batch->owned = true;
+    batch->used = batch->self->now();
+    note(*batch->self, batch_taken,
+         {{"id", batch->state.header.id},
+          {"from", previous_owner},
+          {"why", reason},
+          {"entry", batch->state.next_entry},
+          {"listed", static_cast<std::uint64_t>(batch->state.listed.size())},
+          {"of", static_cast<std::uint64_t>(batch->state.spec.items.size())},
+          {"age_ms", ms_between(batch->state.submitted, batch->self->now())}});
+    loop::asio::co_spawn(batch->self->io, run_batch(batch), loop::asio::detached);
 }
 
 } // namespace cornelloom::front
--- a/src/front/batch_drive.hpp
+++ b/src/front/batch_drive.hpp
@@ -4,11 +4,12 @@
 
 namespace cornelloom::front {
 
-/// Starts to run the batch's items on this host, which must be its owner by the batch's log.
-/// `from`: the owner before, if there was one; `why`: what made this host the owner.
-void start_driving(const live_batch_ptr& one, std::string_view from, std::string_view why);
+/// Starts running the batch's items on this host, which must be the owner according to the batch's
+/// log. `previous_owner` (empty if none) and `reason` are only logged.
+void start_driving(const live_batch_ptr& batch, std::string_view previous_owner,
+                   std::string_view reason);
 
-/// Stops every run of the batch; items go on from what their texts have.
-void stop_runs(live_batch& one);
+/// Aborts all runs of the batch. The items keep their partial texts and can be continued later.
+void stop_runs(live_batch& batch);
 
 } // namespace cornelloom::front
--- a/src/front/batch_submit.cpp
+++ b/src/front/batch_submit.cpp
@@ -8,30 +8,32 @@
 
 namespace {
 
-batch_header make_header(host& self, const caller_request& facts, const std::string& path,
+batch_header make_header(host& self, const caller_request& caller, const std::string& path,
                          std::string account) {
     const auto runner = choose_runner(self);
-    batch_header out;
-    out.id = facts.id;
-    out.host = facts.host;
-    out.path = path;
-    out.account = std::move(account);
-    out.owner = runner.name;
-    out.owner_at = runner.where;
-    out.received_ms = self.clock.wall_now().unix_ms;
-    return out;
+    batch_header header;
+    header.id = caller.id;
+    header.host = caller.host;
+    header.path = path;
+    header.account = std::move(account);
+    header.owner = runner.name;
+    header.owner_at = runner.where;
+    header.received_ms = self.clock.wall_now().unix_ms;
+    return header;
 }
 
-/// Tells the caller that the batch is not accepted.
-loop::task<void> turn_away(std::shared_ptr<batch_desk> desk, loop::served_request& request,
-                           batch_header header, early_start_ptr early, store_fault stored) {
-    auto& self = *desk->self;
-    const auto outcome = co_await withdraw_start(desk, header, early);
-    const bool refused = judge_submission(stored, outcome) == submission_answer::refuse;
+/// Withdraws the early start of a batch that could not be stored and tells the caller that it is
+/// not accepted.
+loop::task<void> answer_not_stored(std::shared_ptr<batch_desk> registry,
+                                   loop::served_request& request, batch_header header,
+                                   early_start_ptr early, store_fault store_result) {
+    auto& self = *registry->self;
+    const auto outcome = co_await withdraw_start(registry, header, early);
+    const bool refused = judge_submission(store_result, outcome) == submission_answer::refuse;
     note(self, batch_refused,
          {{"id", header.id},
-          {"why", refused ? "store out of reach" : "store does not answer"},
-          {"fault", to_string(stored)},
+          {"why", refused ? "store unreachable" : "store did not answer"},
+          {"fault", to_string(store_result)},
           {"nothing_sent", outcome == early_outcome::nothing_sent}});
     if (refused) {
         co_await refuse(self, request, header.id, "platform_unavailable", come_back_later);
@@ -42,38 +44,39 @@
 
 } // namespace
 
-loop::task<void> submit_batch(std::shared_ptr<batch_desk> desk, loop::served_request& request,
-                              caller_request facts, std::string account) {
-    auto self = desk->self;
+loop::task<void> submit_batch(std::shared_ptr<batch_desk> registry, loop::served_request& request,
+                              caller_request caller, std::string account) {
+    auto self = registry->self;
     auto& submission = request.message.body;
     const auto spec = self->wire.submission(nlohmann::json::parse(submission, nullptr, false));
     if (!spec) {
-        co_await reject(*self, request, facts.id, spec.error().detail, 400);
+        co_await reject(*self, request, caller.id, spec.error().detail, 400);
         co_return;
     }
     const auto received = self->now();
-    const auto header = make_header(*self, facts, request.message.path, std::move(account));
-    const auto early = ask_early_start(desk, header, submission);
-    const auto until = received + storing_time(facts.time_left);
-    const auto stored = co_await store_batch(self, header, submission, until);
-    const bool accepted = stored == store_fault::none || stored == store_fault::conflict;
+    const auto header = make_header(*self, caller, request.message.path, std::move(account));
+    const auto early = ask_early_start(registry, header, submission);
+    const auto deadline = received + storing_time(caller.time_left);
+    const auto store_result = co_await store_batch(self, header, submission, deadline);
+    const bool accepted =
+        store_result == store_fault::none || store_result == store_fault::conflict;
     if (!accepted) {
-        co_await turn_away(desk, request, header, early, stored);
+        co_await answer_not_stored(registry, request, header, early, store_result);
         co_return;
     }
     note(*self, batch_accepted,
-         {{"id", facts.id},
+         {{"id", caller.id},
           {"account", header.account},
-          {"again", stored == store_fault::conflict},
+          {"again", store_result == store_fault::conflict},
           {"owner", header.owner},
           {"items", static_cast<std::uint64_t>(spec.value().items.size())},
           {"oldest_version", spec.value().oldest_version},
           {"wanted", spec.value().groups_wanted},
           {"bytes", static_cast<std::uint64_t>(submission.size())},
           {"ms", ms_between(received, self->now())}});
-    loop::asio::co_spawn(self->io,
-                         confirm_start(desk, header, std::move(submission), early, stored),
-                         loop::asio::detached);
+    loop::asio::co_spawn(
+        self->io, confirm_start(registry, header, std::move(submission), early, store_result),
+        loop::asio::detached);
     co_await answer_status(request, 202);
 }
 
--- a/src/front/batch_submit.hpp
+++ b/src/front/batch_submit.hpp
@@ -4,11 +4,9 @@
 
 namespace cornelloom::front {
 
-/// Taking batches in: they are stored, then accepted, and run by a host of the zone from the moment
-/// at which they come.
-
-/// A submission on a route for batches.
-loop::task<void> submit_batch(std::shared_ptr<batch_desk> desk, loop::served_request& request,
-                              caller_request facts, std::string account);
+/// Serves a submission on a route for batches. The batch is accepted once it is stored; a host of
+/// the zone starts running its items before that.
+loop::task<void> submit_batch(std::shared_ptr<batch_desk> registry, loop::served_request& request,
+                              caller_request caller, std::string account);
 
 } // namespace cornelloom::front
--- a/src/front/item_run.cpp
+++ b/src/front/item_run.cpp
@@ -8,363 +8,375 @@
 
 namespace {
 
-constexpr loop::milliseconds connect_limit{300};
-/// After an attempt that failed for no fault of the target.
-constexpr milliseconds retry_pause{30};
-/// A target that refuses while it has room is loading weights; it is asked again after this.
-constexpr milliseconds loading_pause{200};
-/// One scoring call: work of 200 ms, 1.5 s at most, on several targets if need be.
-constexpr milliseconds scoring_limit{3000};
-constexpr milliseconds scoring_pause{100};
-/// A text that ends so close to its batch's deadline is one of the last, which the step waits for.
-constexpr milliseconds last_texts{2000};
+constexpr loop::milliseconds connect_timeout{300};
+/// Before an item that was put back into the queue is sent again.
+constexpr milliseconds retry_delay{30};
+/// A target that refuses a request although it has free slots is loading weights. This is the delay
+/// before it gets another request for that model.
+constexpr milliseconds loading_retry_delay{200};
+/// One scoring call, which takes 200 ms as a rule and up to 1.5 s, including retries on other
+/// targets.
+constexpr milliseconds scoring_timeout{3000};
+constexpr milliseconds scoring_retry_delay{100};
+/// A step waits for the texts that end this close to the deadline, so their scoring is hedged
+/// earlier.
+constexpr milliseconds near_deadline_window{2000};
 
-enum class run_end { complete, retry, failed, impossible };
+enum class run_outcome { complete, retry, failed, unprocessable };
 
 struct run_result {
-    run_end end = run_end::retry;
-    std::string why{};
+    run_outcome outcome = run_outcome::retry;
+    std::string reason{};
 };
 
 bool contains(const std::vector<int>& versions, int version) {
     return std::ranges::find(versions, version) != versions.end();
 }
 
-void put_back(live_batch& one, std::size_t index) {
-    auto& item = one.state.items[index];
+void requeue_item(live_batch& batch, std::size_t index) {
+    auto& item = batch.state.items[index];
     if (item.phase == item_phase::running) {
         item.phase = item_phase::waiting;
-        item.not_before = std::max(item.not_before, one.self->now() + retry_pause);
+        item.not_before = std::max(item.not_before, batch.self->now() + retry_delay);
     }
 }
 
-/// Adds an event to the text; false if it does not continue it.
-bool add_event(live_batch& one, std::size_t index, const stream_event& event, int version) {
-    auto& done = one.state.items[index].done;
-    if (event.id != done.last_event + 1) {
+/// Appends an event to the item's text. Returns false if the event id is not the next one.
+bool append_event(live_batch& batch, std::size_t index, const stream_event& event, int version) {
+    auto& partial = batch.state.items[index].done;
+    if (event.id != partial.last_event + 1) {
         return false;
     }
-    if (done.last_event > 0) {
-        done.text += '\n';
+    if (partial.last_event > 0) {
+        partial.text += '\n';
     }
-    done.text += event.data;
-    done.last_event = event.id;
-    if (!contains(done.versions, version)) {
-        done.versions.push_back(version);
+    partial.text += event.data;
+    partial.last_event = event.id;
+    if (!contains(partial.versions, version)) {
+        partial.versions.push_back(version);
     }
     return true;
 }
 
-void note_pace(live_batch& one, item_run& run) {
-    const auto now = one.self->now();
-    const auto found = one.self->targets.by_id.find(run.target);
-    if (run.events > 0 && found != one.self->targets.by_id.end()) {
-        note_event_gap(found->second, ms_between(run.last_event, now));
+void record_event(live_batch& batch, item_run& run) {
+    const auto now = batch.self->now();
+    const auto target = batch.self->targets.by_id.find(run.target);
+    if (run.events > 0 && target != batch.self->targets.by_id.end()) {
+        note_event_gap(target->second, ms_between(run.last_event, now));
     }
     run.last_event = now;
     if (run.events == 0) {
         run.first_event = now;
     }
-    if (run.events == 0 && found != one.self->targets.by_id.end()) {
-        --found->second.unstarted;
-        one.changed.open(); // the target takes the next waiting item now
+    if (run.events == 0 && target != batch.self->targets.by_id.end()) {
+        --target->second.unstarted;
+        batch.changed.open(); // the target can accept the next waiting item
     }
     ++run.events;
 }
 
-/// A text that mixes versions where that isn't allowed, or holds one that is too old, starts anew.
-bool fits(const live_batch& one, const route& way, const item_state& item, int version) {
-    if (version < one.state.spec.oldest_version) {
+/// Whether a text may be continued by weights of this version: not by a version that is too old,
+/// and not by a second one if the route requires a single version per text.
+bool may_continue_text(const live_batch& batch, const route& item_route, const item_state& item,
+                       int version) {
+    if (version < batch.state.spec.oldest_version) {
         return false;
     }
-    return !way.single_version || item.done.versions.empty() ||
+    return !item_route.single_version || item.done.versions.empty() ||
            contains(item.done.versions, version);
 }
 
-loop::task<run_result> take_events(live_batch_ptr one, std::size_t index, route way, int version) {
-    auto& run = one->runs.at(index);
-    auto link = run.link;
-    std::string held;
-    std::string piece;
-    while (!link->complete()) {
-        // The silence of a target is judged beside this, together with its load.
-        const auto fault = co_await link->read_piece(loop::deadline::max(), piece);
+loop::task<run_result> read_events(live_batch_ptr batch, std::size_t index, route item_route,
+                                   int version) {
+    auto& run = batch->runs.at(index);
+    auto exchange = run.link;
+    std::string buffer;
+    std::string chunk;
+    while (!exchange->complete()) {
+        // No timeout here: evaluate_run() detects silent targets and takes their load into account.
+        const auto fault = co_await exchange->read_piece(loop::deadline::max(), chunk);
         if (fault != loop::exchange_fault::none) {
-            co_return run_result{run_end::retry, std::string(to_string(fault))};
+            co_return run_result{run_outcome::retry, std::string(to_string(fault))};
         }
-        held += piece;
-        for (const auto& event : one->self->wire.events(held)) {
+        buffer += chunk;
+        for (const auto& event : batch->self->wire.events(buffer)) {
             version = event.version > 0 ? event.version : version;
-            auto& item = one->state.items[index];
-            if (!fits(*one, way, item, version)) {
+            auto& item = batch->state.items[index];
+            if (!may_continue_text(*batch, item_route, item, version)) {
                 item.done = {};
-                co_return run_result{run_end::retry, "version " + std::to_string(version)};
+                co_return run_result{run_outcome::retry, "version " + std::to_string(version)};
             }
-            if (!add_event(*one, index, event, version)) {
-                co_return run_result{run_end::retry, "event out of order"};
+            if (!append_event(*batch, index, event, version)) {
+                co_return run_result{run_outcome::retry, "event out of order"};
             }
-            note_pace(*one, run);
+            record_event(*batch, run);
         }
     }
-    co_return held.empty() ? run_result{run_end::complete, {}}
-                           : run_result{run_end::retry, "ended inside an event"};
+    co_return buffer.empty() ? run_result{run_outcome::complete, {}}
+                             : run_result{run_outcome::retry, "stream ended inside an event"};
 }
 
-run_result judge_refusal(live_batch& one, std::size_t index, const target_answer& said,
-                         int status) {
-    auto& self = *one.self;
-    const auto why = "status " + std::to_string(status);
-    const auto found = self.targets.by_id.find(one.runs.at(index).target);
-    if (said.not_run || status == 421) {
+run_result handle_error_status(live_batch& batch, std::size_t index, const target_answer& answer,
+                               int status) {
+    auto& self = *batch.self;
+    const auto reason = "status " + std::to_string(status);
+    const auto found = self.targets.by_id.find(batch.runs.at(index).target);
+    if (answer.not_run || status == 421) {
         if (found != self.targets.by_id.end()) {
             auto& target = found->second;
-            const bool has_room = target.running * 2 <= target.entry.slots;
-            if (has_room && status == 503) {
-                target.loading_until[one.state.spec.items[index].model] =
-                    self.now() + loading_pause;
+            const bool has_free_slots = target.running * 2 <= target.entry.slots;
+            if (has_free_slots && status == 503) {
+                target.loading_until[batch.state.spec.items[index].model] =
+                    self.now() + loading_retry_delay;
             } else {
                 note_full(target, self.now());
             }
         }
-        return {run_end::retry, "not run, " + why};
+        return {run_outcome::retry, "not run, " + reason};
     }
     if (status == 422) {
-        return {run_end::impossible, why};
+        return {run_outcome::unprocessable, reason};
     }
-    return {run_end::failed, why};
+    return {run_outcome::failed, reason};
 }
 
-/// The client account that the items run for; see `forward_terms`.
-std::optional<std::string> account_of(const live_batch& one) {
-    const bool in_use = one.self->routes && one.self->routes->source.accounts;
-    return in_use ? std::optional(one.state.header.account) : std::nullopt;
+/// The client account to forward to targets, if the configuration uses accounts; see
+/// `forward_terms`.
+std::optional<std::string> forwarded_account(const live_batch& batch) {
+    const bool accounts_in_use = batch.self->routes && batch.self->routes->source.accounts;
+    return accounts_in_use ? std::optional(batch.state.header.account) : std::nullopt;
 }
 
-loop::task<run_result> exchange_item(live_batch_ptr one, std::size_t index, route way) {
-    auto self = one->self;
-    auto link = one->runs.at(index).link;
-    const auto& item = one->state.spec.items[index];
-    auto fault = co_await link->open(loop::after(connect_limit), true);
+loop::task<run_result> send_item(live_batch_ptr batch, std::size_t index, route item_route) {
+    auto self = batch->self;
+    auto exchange = batch->runs.at(index).link;
+    const auto& item = batch->state.spec.items[index];
+    auto fault = co_await exchange->open(loop::after(connect_timeout), true);
     if (fault != loop::exchange_fault::none) {
-        co_return run_result{run_end::retry, std::string(to_string(fault))};
+        co_return run_result{run_outcome::retry, std::string(to_string(fault))};
     }
-    const auto left = std::chrono::duration_cast<milliseconds>(one->state.submitted +
-                                                               way.retention - self->now());
-    const forward_terms terms{one->runs.at(index).target, left,
-                              one->state.items[index].done.last_event, account_of(*one)};
-    const auto message = self->wire.item(item, one->state.header.host, terms);
-    fault = co_await link->send(message, loop::after(connect_limit * 4));
+    const auto time_left = std::chrono::duration_cast<milliseconds>(
+        batch->state.submitted + item_route.retention - self->now());
+    const forward_terms terms{batch->runs.at(index).target, time_left,
+                              batch->state.items[index].done.last_event, forwarded_account(*batch)};
+    const auto message = self->wire.item(item, batch->state.header.host, terms);
+    fault = co_await exchange->send(message, loop::after(connect_timeout * 4));
     if (fault == loop::exchange_fault::none) {
-        fault = co_await link->read_head(loop::deadline::max());
+        fault = co_await exchange->read_head(loop::deadline::max());
     }
     if (fault != loop::exchange_fault::none) {
-        co_return run_result{run_end::retry, std::string(to_string(fault))};
+        co_return run_result{run_outcome::retry, std::string(to_string(fault))};
     }
-    const auto said = self->wire.answer(link->headers());
-    if (!said.request_id.empty() && said.request_id != item.id) {
-        co_return run_result{run_end::retry, "answer of another request"};
+    const auto answer = self->wire.answer(exchange->headers());
+    if (!answer.request_id.empty() && answer.request_id != item.id) {
+        co_return run_result{run_outcome::retry, "answer to another request"};
     }
-    if (link->status() != 200) {
-        const int status = link->status();
-        std::string ignored; // the body of a failure says nothing more
-        const auto rest = co_await link->read_rest(loop::after(connect_limit), ignored, 1U << 20U);
-        if (rest == loop::exchange_fault::none) {
-            link->finish();
+    if (exchange->status() != 200) {
+        const int status = exchange->status();
+        std::string discarded_body; // read only so that the connection can be reused
+        const auto drain_fault =
+            co_await exchange->read_rest(loop::after(connect_timeout), discarded_body, 1U << 20U);
+        if (drain_fault == loop::exchange_fault::none) {
+            exchange->finish();
         }
-        co_return judge_refusal(*one, index, said, status);
+        co_return handle_error_status(*batch, index, answer, status);
     }
-    if (said.version > 0 && !fits(*one, way, one->state.items[index], said.version)) {
-        if (said.version >= one->state.spec.oldest_version) {
-            one->state.items[index].done = {};
+    if (answer.version > 0 &&
+        !may_continue_text(*batch, item_route, batch->state.items[index], answer.version)) {
+        if (answer.version >= batch->state.spec.oldest_version) {
+            batch->state.items[index].done = {};
         }
-        co_return run_result{run_end::retry, "version " + std::to_string(said.version)};
+        co_return run_result{run_outcome::retry, "version " + std::to_string(answer.version)};
     }
-    auto result = co_await take_events(one, index, way, said.version);
-    if (result.end == run_end::complete) {
-        link->finish();
+    auto result = co_await read_events(batch, index, item_route, answer.version);
+    if (result.outcome == run_outcome::complete) {
+        exchange->finish();
     }
     co_return result;
 }
 
-/// What a finished text teaches of the length of others.
-void note_text(live_batch& one, std::size_t index) {
-    const auto& item = one.state.spec.items[index];
-    const auto events = static_cast<double>(one.state.items[index].done.last_event);
-    note_length(one.self->lengths[item.model], item.tokens_out_hint, events);
+/// Updates the length estimates for the model with a finished text.
+void record_text_length(live_batch& batch, std::size_t index) {
+    const auto& item = batch.state.spec.items[index];
+    const auto events = static_cast<double>(batch.state.items[index].done.last_event);
+    record_length(batch.self->lengths[item.model], item.tokens_out_hint, events);
 }
 
-void note_run_end(live_batch& one, std::size_t index, const run_result& result) {
-    auto& self = *one.self;
-    const auto& run = one.runs.at(index);
+void record_run_end(live_batch& batch, std::size_t index, const run_result& result) {
+    auto& self = *batch.self;
+    const auto& run = batch.runs.at(index);
     const auto found = self.targets.by_id.find(run.target);
     if (found != self.targets.by_id.end()) {
         auto& target = found->second;
         target.running = std::max(0, target.running - 1);
         target.unstarted -= run.events == 0 ? 1 : 0;
-        const bool lost = result.end == run_end::retry && !run.moving &&
-                          !result.why.starts_with("not run") && !result.why.starts_with("version");
-        if (lost && one.owned && !is_over(one.state)) {
+        const bool target_failed = result.outcome == run_outcome::retry && !run.moving &&
+                                   !result.reason.starts_with("not run") &&
+                                   !result.reason.starts_with("version");
+        if (target_failed && batch.owned && !is_over(batch.state)) {
             note_fault(target, self.now());
         }
     }
-    if (result.end == run_end::complete) {
-        note_text(one, index);
+    if (result.outcome == run_outcome::complete) {
+        record_text_length(batch, index);
         note(self, item_texted,
-             {{"id", one.state.spec.items[index].id},
-              {"batch", one.state.header.id},
+             {{"id", batch.state.spec.items[index].id},
+              {"batch", batch.state.header.id},
               {"target", run.target},
               {"events", run.events},
-              {"hint", one.state.spec.items[index].tokens_out_hint},
-              {"most", one.state.spec.items[index].tokens_out_most},
+              {"hint", batch.state.spec.items[index].tokens_out_hint},
+              {"most", batch.state.spec.items[index].tokens_out_most},
               {"first_ms", ms_between(run.sent, run.first_event)},
               {"ms", ms_between(run.sent, self.now())},
-              {"age_ms", ms_between(one.state.submitted, self.now())}});
+              {"age_ms", ms_between(batch.state.submitted, self.now())}});
     } else {
         note(self, item_run_ended,
-             {{"id", one.state.spec.items[index].id},
-              {"batch", one.state.header.id},
+             {{"id", batch.state.spec.items[index].id},
+              {"batch", batch.state.header.id},
               {"target", run.target},
-              {"why", run.moving ? "moved" : result.why},
-              {"events", one.state.items[index].done.last_event},
+              {"why", run.moving ? "moved" : result.reason},
+              {"events", batch.state.items[index].done.last_event},
               {"ms", ms_between(run.sent, self.now())}});
     }
 }
 
-void finish(live_batch& one, item_result result) {
-    finish_item(one.state, std::move(result), one.self->now());
-    one.changed.open();
+void record_result(live_batch& batch, item_result result) {
+    finish_item(batch.state, std::move(result), batch.self->now());
+    batch.changed.open();
 }
 
-item_result completed(const live_batch& one, std::size_t index) {
-    const auto& done = one.state.items[index].done;
-    item_result out;
-    out.id = one.state.spec.items[index].id;
-    out.completed = true;
-    out.text = done.text;
-    out.versions = done.versions;
-    return out;
+item_result completed_result(const live_batch& batch, std::size_t index) {
+    const auto& partial = batch.state.items[index].done;
+    item_result result;
+    result.id = batch.state.spec.items[index].id;
+    result.completed = true;
+    result.text = partial.text;
+    result.versions = partial.versions;
+    return result;
 }
 
-void note_score(live_batch& one, std::size_t index, int sends, double took_ms) {
-    one.self->metrics.record("cornelloom_score_seconds", took_ms / 1000);
-    note(*one.self, item_scored,
-         {{"id", one.state.spec.items[index].id},
-          {"batch", one.state.header.id},
+void record_score(live_batch& batch, std::size_t index, int sends, double duration_ms) {
+    batch.self->metrics.record("cornelloom_score_seconds", duration_ms / 1000);
+    note(*batch.self, item_scored,
+         {{"id", batch.state.spec.items[index].id},
+          {"batch", batch.state.header.id},
           {"sends", sends},
-          {"ms", took_ms},
-          {"age_ms", ms_between(one.state.submitted, one.self->now())}});
+          {"ms", duration_ms},
+          {"age_ms", ms_between(batch.state.submitted, batch.self->now())}});
 }
 
-void count_failure(live_batch& one, std::size_t index, const route& way, std::string_view why) {
-    auto& item = one.state.items[index];
+void record_failure(live_batch& batch, std::size_t index, const route& item_route,
+                    std::string_view reason) {
+    auto& item = batch.state.items[index];
     ++item.failures;
-    if (item.failures >= way.attempts) {
-        give_up_item(one, index, why);
+    if (item.failures >= item_route.attempts) {
+        give_up_item(batch, index, reason);
     } else {
-        put_back(one, index);
+        requeue_item(batch, index);
     }
 }
 
 } // namespace
 
-void give_up_item(live_batch& one, std::size_t index, std::string_view why) {
-    note(*one.self, item_given_up,
-         {{"id", one.state.spec.items[index].id},
-          {"batch", one.state.header.id},
-          {"why", why},
-          {"failures", one.state.items[index].failures},
-          {"age_ms", ms_between(one.state.submitted, one.self->now())}});
-    item_result out;
-    out.id = one.state.spec.items[index].id;
-    out.text = one.state.items[index].done.text;
-    out.versions = one.state.items[index].done.versions;
-    finish(one, std::move(out));
+void give_up_item(live_batch& batch, std::size_t index, std::string_view reason) {
+    note(*batch.self, item_given_up,
+         {{"id", batch.state.spec.items[index].id},
+          {"batch", batch.state.header.id},
+          {"why", reason},
+          {"failures", batch.state.items[index].failures},
+          {"age_ms", ms_between(batch.state.submitted, batch.self->now())}});
+    item_result result;
+    result.id = batch.state.spec.items[index].id;
+    result.text = batch.state.items[index].done.text;
+    result.versions = batch.state.items[index].done.versions;
+    record_result(batch, std::move(result));
 }
 
-loop::task<void> run_item(live_batch_ptr one, std::size_t index, std::string target_id) {
-    auto self = one->self;
-    const auto* found = route_of_item(*one, one->state.spec.items[index]);
+loop::task<void> run_item(live_batch_ptr batch, std::size_t index, std::string target_id) {
+    auto self = batch->self;
+    const auto* found_route = route_of_item(*batch, batch->state.spec.items[index]);
     const auto target = self->targets.by_id.find(target_id);
-    if (found == nullptr || target == self->targets.by_id.end()) {
+    if (found_route == nullptr || target == self->targets.by_id.end()) {
         if (target != self->targets.by_id.end()) {
             --target->second.running;
             --target->second.unstarted;
         }
-        put_back(*one, index);
+        requeue_item(*batch, index);
         co_return;
     }
-    const route way = *found;
+    const route item_route = *found_route;
     item_run run;
     run.link = std::make_shared<loop::exchange>(self->connections, target->second.entry.where);
     run.target = target_id;
     run.sent = run.last_event = self->now();
-    one->runs.insert_or_assign(index, run);
-    one->state.items[index].last_target = target_id;
-    const auto result = co_await exchange_item(one, index, way);
+    batch->runs.insert_or_assign(index, run);
+    batch->state.items[index].last_target = target_id;
+    const auto result = co_await send_item(batch, index, item_route);
     run.link->abort();
-    note_run_end(*one, index, result);
-    one->runs.erase(index);
-    if (one->state.items[index].phase != item_phase::running) {
-        co_return; // another host has listed it, or the batch is over
+    record_run_end(*batch, index, result);
+    batch->runs.erase(index);
+    if (batch->state.items[index].phase != item_phase::running) {
+        co_return; // finished by another host, or the batch is over
     }
-    switch (result.end) {
-    case run_end::complete:
-        one->state.items[index].phase = item_phase::scoring;
-        one->state.items[index].done.whole = true;
-        one->changed.open();
-        co_await score_item(one, index);
+    switch (result.outcome) {
+    case run_outcome::complete:
+        batch->state.items[index].phase = item_phase::scoring;
+        batch->state.items[index].done.whole = true;
+        batch->changed.open();
+        co_await score_item(batch, index);
         break;
-    case run_end::retry:
-        put_back(*one, index);
+    case run_outcome::retry:
+        requeue_item(*batch, index);
         break;
-    case run_end::failed:
-        count_failure(*one, index, way, result.why);
+    case run_outcome::failed:
+        record_failure(*batch, index, item_route, result.reason);
         break;
-    case run_end::impossible:
-        give_up_item(*one, index, result.why);
+    case run_outcome::unprocessable:
+        give_up_item(*batch, index, result.reason);
         break;
     }
-    one->changed.open();
+    batch->changed.open();
 }
 
-loop::task<void> score_item(live_batch_ptr one, std::size_t index) {
-    auto self = one->self;
-    const auto scoring = one->state.spec.items[index].scoring;
+loop::task<void> score_item(live_batch_ptr batch, std::size_t index) {
+    auto self = batch->self;
+    const auto scoring = batch->state.spec.items[index].scoring;
     if (!scoring) {
-        finish(*one, completed(*one, index));
+        record_result(*batch, completed_result(*batch, index));
         co_return;
     }
-    const auto texted = self->now();
+    const auto text_completed = self->now();
     int failures = 0;
     int sends = 0;
-    while (one->owned && !is_over(one->state) &&
-           one->state.items[index].phase == item_phase::scoring) {
+    while (batch->owned && !is_over(batch->state) &&
+           batch->state.items[index].phase == item_phase::scoring) {
         const auto path = scoring->path.substr(0, scoring->path.find('?'));
-        const auto* way = self->routes ? find_route(*self->routes, scoring->host, path) : nullptr;
-        if (way == nullptr || !may_send_items(*one)) {
-            co_await loop::pause_for(self->io, scoring_pause);
+        const auto* scoring_route =
+            self->routes ? find_route(*self->routes, scoring->host, path) : nullptr;
+        if (scoring_route == nullptr || !may_send_items(*batch)) {
+            co_await loop::pause_for(self->io, scoring_retry_delay);
             continue;
         }
         plain_call call;
         call.id = scoring->id;
-        call.service = choose_service(*way, scoring->id);
+        call.service = choose_service(*scoring_route, scoring->id);
         call.idempotent = true;
-        call.runs_most = way->attempts;
-        call.objective = way->objective;
-        call.deadline = self->now() + scoring_limit;
-        const bool last = self->now() + last_texts >= deadline_of(*one);
-        call.hedge_factor = last ? early_hedge_factor : usual_hedge_factor;
+        call.runs_most = scoring_route->attempts;
+        call.objective = scoring_route->objective;
+        call.deadline = self->now() + scoring_timeout;
+        const bool near_deadline = self->now() + near_deadline_window >= deadline_of(*batch);
+        call.hedge_factor = near_deadline ? early_hedge_factor : usual_hedge_factor;
         call.make = [self, scoring](const forward_terms& terms) {
             return self->wire.scoring(*scoring, terms);
         };
-        const auto* own_way = route_of(*one);
-        const int failures_most =
-            std::max(way->attempts, own_way != nullptr ? own_way->attempts : 1);
+        const auto* batch_route = route_of(*batch);
+        const int max_failures =
+            std::max(scoring_route->attempts, batch_route != nullptr ? batch_route->attempts : 1);
         const auto control = std::make_shared<call_control>();
-        one->scorings.insert_or_assign(index, control);
+        batch->scorings.insert_or_assign(index, control);
         auto outcome = co_await run_plain(self, std::move(call), control);
-        one->scorings.erase(index);
-        if (one->state.items[index].phase != item_phase::scoring) {
+        batch->scorings.erase(index);
+        if (batch->state.items[index].phase != item_phase::scoring) {
             co_return;
         }
         sends += outcome.sends;
@@ -372,19 +384,19 @@
         const bool success = outcome.what == plain_outcome::state::answered && status >= 200 &&
                              status < 300 && outcome.facts.stamped;
         if (success) {
-            auto result = completed(*one, index);
+            auto result = completed_result(*batch, index);
             result.score = outcome.facts.stamp;
             result.scored = true;
-            note_score(*one, index, sends, ms_between(texted, self->now()));
-            finish(*one, std::move(result));
+            record_score(*batch, index, sends, ms_between(text_completed, self->now()));
+            record_result(*batch, std::move(result));
             co_return;
         }
         failures += outcome.failures;
-        if (failures >= failures_most) {
-            give_up_item(*one, index, "scoring failed");
+        if (failures >= max_failures) {
+            give_up_item(*batch, index, "scoring failed");
             co_return;
         }
-        co_await loop::pause_for(self->io, scoring_pause);
+        co_await loop::pause_for(self->io, scoring_retry_delay);
     }
 }
 
--- a/src/front/item_run.hpp
+++ b/src/front/item_run.hpp
@@ -4,14 +4,15 @@
 
 namespace cornelloom::front {
 
-/// Sends the item to that target, where it is counted as running already, and takes in its events,
-/// then has a complete text scored. Ends when the item has its result, or waits again for a target.
-loop::task<void> run_item(live_batch_ptr one, std::size_t index, std::string target_id);
+/// Runs an item on a target and, once its text is complete, requests its score. The caller has
+/// already counted the item as running on that target. Returns when the item has a result or has
+/// been put back into the queue.
+loop::task<void> run_item(live_batch_ptr batch, std::size_t index, std::string target_id);
 
-/// Asks for the score of an item whose text is complete.
-loop::task<void> score_item(live_batch_ptr one, std::size_t index);
+/// Requests the score of an item whose text is complete and retries until it has a result.
+loop::task<void> score_item(live_batch_ptr batch, std::size_t index);
 
-/// Lists the item as given up.
-void give_up_item(live_batch& one, std::size_t index, std::string_view why);
+/// Finishes the item as failed, with the text generated so far.
+void give_up_item(live_batch& batch, std::size_t index, std::string_view reason);
 
 } // namespace cornelloom::front
--- a/src/front/load_limit.hpp
+++ b/src/front/load_limit.hpp
@@ -7,38 +7,39 @@
 
 namespace cornelloom::front {
 
-/// How many targets may load weights at once.
+/// An adaptive limit for the number of targets that load weights at once.
 ///
-/// Load it is made for: many targets that fetch new weights from one source. What the source
-/// carries is not known, and has nothing to do with the number of targets; beyond it all loads slow
-/// each other down, and a hundred at once leave every step without fresh targets. The limit starts
-/// low, doubles while loads end as soon as a single one does, and falls to what the source carried
-/// once they take longer; from then on it creeps up, so that a source that was slow for a while is
-/// not held for slow for ever.
+/// Designed for many targets that fetch new weights from one source. The capacity of the source is
+/// unknown and independent of the number of targets. Beyond it, all loads slow each other down, and
+/// a hundred at once leave every step without targets that have the new weights. The limit starts
+/// low and doubles as long as loads take no longer than a single one does. Once they take longer,
+/// it drops to the capacity seen and then grows slowly, so that a source that was slow for a while
+/// can be used fully again.
 struct load_limit {
     double allowed = 2;     ///< Loads that may run at once.
-    double shortest_ms = 0; ///< A load that runs alone takes so long; 0: none has been seen.
-    double stretch = 1;     ///< Moving mean of how much longer loads take.
-    /// The same of loads that began under the present limit: those from before still show what the
-    /// limit before has done, and one overload would lower it again and again.
-    double stretch_now = 1;
+    double shortest_ms = 0; ///< Duration of a load that runs alone; 0: no load has been seen.
+    double stretch = 1;     ///< Moving mean of the slowdown: duration / shortest duration.
+    /// The same for loads that started since the limit was last lowered. Older loads still show the
+    /// effect of the former limit; with them, a single overload would lower the limit repeatedly.
+    double current_slowdown = 1;
     std::uint64_t lowered = 0; ///< How often the limit has been lowered.
 };
 
-/// Loads that may run at once now.
+/// The number of loads that may run at once now.
 [[nodiscard]] std::size_t loads_at_once(const load_limit& limit);
 
-/// How long a load takes now.
+/// The expected duration of a load at present.
 [[nodiscard]] milliseconds usual_load(const load_limit& limit);
 
-/// A load that was seen from its beginning to its end.
-struct seen_load {
-    milliseconds took{};
-    std::size_t together = 1;     ///< Running when it ended, itself included.
-    std::uint64_t lowered = 0;    ///< `load_limit::lowered` when it began.
-    std::uint64_t stands_for = 1; ///< Loads, of which only this one was seen.
+/// A finished load whose start and end were observed.
+struct observed_load {
+    milliseconds duration{};
+    std::size_t concurrent = 1;          ///< Loads running when it finished, including itself.
+    std::uint64_t lowered = 0;           ///< `load_limit::lowered` when it started.
+    std::uint64_t represented_loads = 1; ///< Number of loads that this one is a sample of.
 };
 
-void note_load(load_limit& limit, const seen_load& load);
+/// Updates the limit with a finished load.
+void note_load(load_limit& limit, const observed_load& load);
 
 } // namespace cornelloom::front
--- a/src/front/placement.cpp
+++ b/src/front/placement.cpp
@@ -6,116 +6,125 @@
 
 namespace {
 
-/// A target counts as slow at this multiple of the median pace. A full batch costs 12%, two paces
-/// of prefill more; an impaired target runs at several times its pace.
+/// A target whose pace exceeds the median by this factor is slow. A full batch costs 12%, two paces
+/// of prefill more; an impaired target takes several times its usual pace.
 constexpr double slow_factor = 1.7;
-/// Below this part of another target's pace one is quicker for good, not by chance.
-constexpr double clearly_quicker = 0.88;
-/// A run that is sent to a target with free slots begins within this, in ms.
-constexpr double start_wait_ms = 100;
-/// Gain that a move must promise, in ms: a cancelled request, a round trip, the prompt once more.
-constexpr double move_gain_ms = 250;
-/// Silence that a load of new weights (0.9 s, longer when several load) does not explain.
-constexpr double silent_limit_ms = 1300;
-/// A run that has not begun waits for a slot behind others; it goes where there is one.
-constexpr double queue_limit_ms = 400;
-/// Beyond this a target that has not begun a run is taken for dead.
-constexpr double start_limit_ms = 4000;
-/// Before any pace is known, in ms an event.
-constexpr double first_pace_ms = 40;
-/// Items of this host that may wait at a target for their first event, as a part of its slots.
-/// Other hosts fill the same slots; a full target shows by events that do not come, and this is
-/// what it can hold up. An empty one has taken 16 items after four round trips.
-constexpr int unstarted_share = 4;
-/// What one more run adds to the time of each token on a target, as a share.
-constexpr double share_per_run = 0.008;
-
-/// Usual pace of the service, found out once a round.
-std::optional<double> usual_pace(placement_round& round, std::string_view service) {
-    const auto known = round.median_paces.find(service);
-    if (known != round.median_paces.end()) {
-        return known->second;
+/// A target is faster than another, not just by chance, if its pace is below this fraction of the
+/// other's.
+constexpr double faster_pace_ratio = 0.88;
+/// Time until a run starts on a target with free slots.
+constexpr double start_delay_ms = 100;
+/// Time that a move must save: it costs a cancelled request, a round trip and a second prefill.
+constexpr double min_move_gain_ms = 250;
+/// Longer than the silence of a target that loads new weights: 0.9 s, more if several targets load
+/// at once.
+constexpr double silence_timeout_ms = 1300;
+/// A run that has not started after this time is queued behind others and may move to a free slot.
+constexpr double queue_timeout_ms = 400;
+/// A target that has not started a run after this time is considered dead.
+constexpr double start_timeout_ms = 4000;
+/// Time per event that is assumed before any pace is known.
+constexpr double default_pace_ms = 40;
+/// At most one in this many slots of a target may hold an item of this host that has no event yet.
+/// Other hosts fill the same slots, and a full target shows only by missing events; this bounds the
+/// number of items that it can delay. An empty target still takes 16 items within four round trips.
+constexpr int slots_per_unstarted = 4;
+/// Relative increase of the time per token for each further run on the target.
+constexpr double slowdown_per_run = 0.008;
+
+/// The service's median pace, computed once per round.
+std::optional<double> service_median_pace(placement_round& round, std::string_view service) {
+    const auto cached = round.median_paces.find(service);
+    if (cached != round.median_paces.end()) {
+        return cached->second;
     }
     const auto median = median_pace(*round.table, service);
     round.median_paces.emplace(service, median);
     return median;
 }
 
-double pace_of(placement_round& round, const target_state& target) {
-    const double known = likely_pace(target);
-    return known > 0 ? known : usual_pace(round, target.entry.service).value_or(first_pace_ms);
+double expected_pace(placement_round& round, const target_state& target) {
+    const double measured = likely_pace(target);
+    return measured > 0
+               ? measured
+               : service_median_pace(round, target.entry.service).value_or(default_pace_ms);
 }
 
-bool serves(const target_state& target, const run_need& need, time_point now) {
-    if (target.entry.service != need.service || target.entry.draining) {
+bool can_serve(const target_state& target, const run_requirements& requirements, time_point now) {
+    if (target.entry.service != requirements.service || target.entry.draining) {
         return false;
     }
-    const auto loading = target.loading_until.find(need.model);
+    const auto loading = target.loading_until.find(requirements.model);
     if (loading != target.loading_until.end() && loading->second > now) {
         return false;
     }
-    const auto loaded = target.entry.versions.find(need.model);
+    const auto loaded = target.entry.versions.find(requirements.model);
     if (loaded == target.entry.versions.end()) {
-        return need.model.empty();
+        return requirements.model.empty();
     }
-    return need.exact_version > 0 ? loaded->second == need.exact_version
-                                  : loaded->second >= need.oldest_version;
+    return requirements.exact_version > 0 ? loaded->second == requirements.exact_version
+                                          : loaded->second >= requirements.oldest_version;
 }
 
-bool has_slot(const target_state& target) {
+bool has_free_slot(const target_state& target) {
     return target.running < std::max(target.entry.slots, 1);
 }
 
-bool has_room(const target_state& target) {
+bool has_capacity(const target_state& target) {
     const int slots = std::max(target.entry.slots, 1);
-    return has_slot(target) && target.unstarted < std::max(1, slots / unstarted_share);
+    return has_free_slot(target) && target.unstarted < std::max(1, slots / slots_per_unstarted);
 }
 
-run_place place_at(placement_round& round, target_state& target) {
-    const double way =
+run_candidate make_candidate(placement_round& round, target_state& target) {
+    const double network_ms =
         distance_ms(round.from, target.entry.zone) / 2 + spread(round.from, target.entry.id);
-    return {&target, pace_of(round, target), way};
-}
-
-/// The targets that serve the item, whether they have room or not.
-const std::vector<run_place>& places_for(placement_round& round, const run_need& need) {
-    const placement_round::need_key key(need.service, need.model, need.oldest_version,
-                                        need.exact_version);
-    const auto known = round.places.find(key);
-    if (known != round.places.end()) {
-        return known->second;
+    return {&target, expected_pace(round, target), network_ms};
+}
+
+/// The targets that can serve the item, with or without capacity.
+const std::vector<run_candidate>& candidates_for(placement_round& round,
+                                                 const run_requirements& requirements) {
+    const placement_round::requirements_key key(requirements.service, requirements.model,
+                                                requirements.oldest_version,
+                                                requirements.exact_version);
+    const auto cached = round.candidates.find(key);
+    if (cached != round.candidates.end()) {
+        return cached->second;
     }
-    auto& out = round.places[key];
+    auto& candidates = round.candidates[key];
     for (auto& [id, target] : round.table->by_id) {
-        if (serves(target, need, round.now)) {
-            out.push_back(place_at(round, target));
+        if (can_serve(target, requirements, round.now)) {
+            candidates.push_back(make_candidate(round, target));
         }
     }
-    return out;
+    return candidates;
 }
 
-/// Whether the item may go there, once there is room.
-bool may_take(const target_state& target, const run_need& need, time_point now) {
-    return target.avoid_until <= now && target.entry.id != need.avoid;
+/// Whether the item may use the target, apart from its capacity.
+bool is_eligible(const target_state& target, const run_requirements& requirements, time_point now) {
+    return target.avoid_until <= now && target.entry.id != requirements.excluded_target;
 }
 
-/// Time to the end of the item at that target.
-double end_ms(const run_place& place, double events_left) {
-    return events_left * place.pace_ms * (1 + share_per_run * place.target->running) + place.way_ms;
+/// Expected time until the item completes on that target.
+double completion_ms(const run_candidate& candidate, double events_left) {
+    return events_left * candidate.pace_ms * (1 + slowdown_per_run * candidate.target->running) +
+           candidate.network_ms;
 }
 
-/// The best place with room.
-std::optional<run_place> choose_place(placement_round& round, const run_need& need) {
-    std::optional<run_place> best;
-    double best_end = 0;
-    for (const auto& place : places_for(round, need)) {
-        if (!has_room(*place.target) || !may_take(*place.target, need, round.now)) {
+/// The candidate with capacity that is expected to complete the item first.
+std::optional<run_candidate> choose_candidate(placement_round& round,
+                                              const run_requirements& requirements) {
+    std::optional<run_candidate> best;
+    double best_ms = 0;
+    for (const auto& candidate : candidates_for(round, requirements)) {
+        if (!has_capacity(*candidate.target) ||
+            !is_eligible(*candidate.target, requirements, round.now)) {
             continue;
         }
-        const double end = end_ms(place, need.events_left);
-        if (!best || end < best_end) {
-            best = place;
-            best_end = end;
+        const double expected_ms = completion_ms(candidate, requirements.events_left);
+        if (!best || expected_ms < best_ms) {
+            best = candidate;
+            best_ms = expected_ms;
         }
     }
     return best;
@@ -146,58 +155,66 @@
     return {&table, from, now};
 }
 
-target_state* choose_run(placement_round& round, const run_need& need) {
-    const auto place = choose_place(round, need);
-    return place ? place->target : nullptr;
+target_state* choose_target(placement_round& round, const run_requirements& requirements) {
+    const auto candidate = choose_candidate(round, requirements);
+    return candidate ? candidate->target : nullptr;
 }
 
-bool better_soon(placement_round& round, const run_need& need, const target_state& now_free) {
-    const auto& places = places_for(round, need);
-    const auto free = std::ranges::find(places, &now_free, &run_place::target);
-    if (free == places.end()) {
+bool faster_target_soon(placement_round& round, const run_requirements& requirements,
+                        const target_state& available) {
+    const auto& candidates = candidates_for(round, requirements);
+    const auto available_candidate =
+        std::ranges::find(candidates, &available, &run_candidate::target);
+    if (available_candidate == candidates.end()) {
         return false;
     }
-    const double known = end_ms(*free, need.events_left);
-    return std::ranges::any_of(places, [&](const run_place& place) {
-        const auto& target = *place.target;
-        return has_slot(target) && !has_room(target) &&
-               place.pace_ms < clearly_quicker * free->pace_ms &&
-               end_ms(place, need.events_left) + start_wait_ms < known &&
-               may_take(target, need, round.now);
+    const double available_completion_ms =
+        completion_ms(*available_candidate, requirements.events_left);
+    return std::ranges::any_of(candidates, [&](const run_candidate& candidate) {
+        const auto& target = *candidate.target;
+        return has_free_slot(target) && !has_capacity(target) &&
+               candidate.pace_ms < faster_pace_ratio * available_candidate->pace_ms &&
+               completion_ms(candidate, requirements.events_left) + start_delay_ms <
+                   available_completion_ms &&
+               is_eligible(target, requirements, round.now);
     });
 }
 
-run_verdict judge_run(placement_round& round, target_state& current, const run_progress& progress,
-                      const run_need& need) {
-    const double limit = progress.started ? silent_limit_ms : start_limit_ms;
-    if (progress.silent_ms > limit) {
-        return run_verdict::move_silent;
+run_decision evaluate_run(placement_round& round, target_state& current,
+                          const run_progress& progress, const run_requirements& requirements) {
+    const double silence_limit_ms = progress.started ? silence_timeout_ms : start_timeout_ms;
+    if (progress.silent_ms > silence_limit_ms) {
+        return run_decision::move_silent;
     }
-    const auto usual = usual_pace(round, current.entry.service);
-    const auto here = place_at(round, current);
-    const bool queued = !progress.started && progress.silent_ms > queue_limit_ms;
-    const bool slow = progress.started && is_slow(current, usual);
-    const bool late = progress.started && !slow && !progress.moved_late && progress.due_ms > 0 &&
-                      end_ms(here, need.events_left) > progress.due_ms;
+    const auto median = service_median_pace(round, current.entry.service);
+    const auto current_candidate = make_candidate(round, current);
+    const bool queued = !progress.started && progress.silent_ms > queue_timeout_ms;
+    const bool slow = progress.started && is_slow(current, median);
+    const bool late =
+        progress.started && !slow && !progress.moved_late && progress.ms_to_deadline > 0 &&
+        completion_ms(current_candidate, requirements.events_left) > progress.ms_to_deadline;
     if (!queued && !slow && !late) {
-        return run_verdict::stay;
+        return run_decision::stay;
     }
-    run_need elsewhere = need;
-    elsewhere.avoid = current.entry.id;
-    const auto other = choose_place(round, elsewhere);
+    run_requirements other_requirements = requirements;
+    other_requirements.excluded_target = current.entry.id;
+    const auto alternative = choose_candidate(round, other_requirements);
     if (queued) {
-        return other && other->target->unstarted == 0 ? run_verdict::move_queued
-                                                      : run_verdict::stay;
+        return alternative && alternative->target->unstarted == 0 ? run_decision::move_queued
+                                                                  : run_decision::stay;
     }
-    const bool quicker = other && other->pace_ms < clearly_quicker * here.pace_ms;
-    if (!quicker || is_slow(*other->target, usual)) {
-        return run_verdict::stay;
+    const bool faster =
+        alternative && alternative->pace_ms < faster_pace_ratio * current_candidate.pace_ms;
+    if (!faster || is_slow(*alternative->target, median)) {
+        return run_decision::stay;
     }
-    const double there_ms = end_ms(*other, need.events_left) + start_wait_ms;
-    if (end_ms(here, need.events_left) - there_ms <= move_gain_ms) {
-        return run_verdict::stay;
+    const double alternative_ms =
+        completion_ms(*alternative, requirements.events_left) + start_delay_ms;
+    if (completion_ms(current_candidate, requirements.events_left) - alternative_ms <=
+        min_move_gain_ms) {
+        return run_decision::stay;
     }
-    return late ? run_verdict::move_late : run_verdict::move_slow;
+    return late ? run_decision::move_late : run_decision::move_slow;
 }
 
 } // namespace cornelloom::front
--- a/src/front/placement.hpp
+++ b/src/front/placement.hpp
@@ -10,93 +10,93 @@
 
 namespace cornelloom::front {
 
-/// What an item needs of a target.
-struct run_need {
+/// What an item requires of a target.
+struct run_requirements {
     std::string_view service;
     std::string_view model;
     int oldest_version = 0;
-    int exact_version = 0;  ///< 0: any that is new enough.
-    double events_left = 1; ///< Events that the text may still have; one in ten has more.
-    std::string_view avoid; ///< The target that it has just left; empty: none.
+    int exact_version = 0;            ///< 0: any that is not older than `oldest_version`.
+    double events_left = 1;           ///< Remaining events that one text in ten exceeds.
+    std::string_view excluded_target; ///< The target that the item is to leave; empty: none.
 };
 
-/// A target that serves an item, with what its choice needs of it.
-struct run_place {
+/// A target that can serve an item, with the estimates that the choice is based on.
+struct run_candidate {
     target_state* target = nullptr;
-    double pace_ms = 0; ///< Expected time of an event there.
-    double way_ms = 0;  ///< Extra time of a request there, by where it is.
+    double pace_ms = 0;    ///< Expected time per event.
+    double network_ms = 0; ///< Extra time of a request, due to the distance.
 };
 
-/// What the placing and judging of many items at one moment shares.
+/// Results that are shared by all placement decisions made at one moment.
 ///
-/// Load it is made for: two hundred items that wait on thousands of targets. Which targets serve an
-/// item, and how quick a target of its service usually is, is the same for all items of a model; it
-/// is found out once. Valid until the table's entries or the time change.
+/// Designed for two hundred waiting items on thousands of targets: the targets that can serve an
+/// item and the median pace of its service are the same for all items of a model, so they are
+/// computed once. Valid until the table's entries or the time change.
 struct placement_round {
-    /// Items with the same needs share their places.
-    using need_key = std::tuple<std::string_view, std::string_view, int, int>;
+    /// Items with the same requirements share their candidates.
+    using requirements_key = std::tuple<std::string_view, std::string_view, int, int>;
 
     target_table* table = nullptr;
     distance from{};
     time_point now{};
     std::map<std::string_view, std::optional<double>> median_paces{}; ///< By service.
-    std::map<need_key, std::vector<run_place>> places{};
+    std::map<requirements_key, std::vector<run_candidate>> candidates{};
 };
 
-/// Starts a round. `table`, and what the needs of its items refer to, must outlive it.
+/// Starts a round. `table` and the strings that requirements refer to must outlive it.
 [[nodiscard]] placement_round begin_placement(target_table& table, const distance& from,
                                               time_point now);
 
-/// The target where the item is expected to end soonest, or null while none has room.
+/// The target that is expected to complete the item first, or null if none has capacity.
 ///
-/// Load it is made for: bursts of some tens of items of very unequal length, on targets that batch
-/// up to `slots` of them at little cost and of which one may be several times slower than the
-/// others. It prevents long items on a slow target while quicker ones have slots, and never puts
-/// more of this host's items on a target than it has slots, so that what waits here can still go
-/// elsewhere.
-[[nodiscard]] target_state* choose_run(placement_round& round, const run_need& need);
-
-/// Whether a target that is full of unstarted runs only for the moment is expected to end the item
-/// sooner than `now_free`, the best of those with room.
+/// Designed for bursts of some tens of items of very unequal length, on targets that batch up to
+/// `slots` of them at little cost and of which one may be several times slower than the others.
+/// Long items avoid a slow target while faster ones have slots. A target never gets more of this
+/// host's items than it has slots, so that the waiting items can still use other targets.
+[[nodiscard]] target_state* choose_target(placement_round& round,
+                                          const run_requirements& requirements);
+
+/// Whether a faster target has free slots, is only blocked by runs that have not started yet, and
+/// is expected to complete the item earlier than `available`, the best target with capacity.
 ///
-/// Load it is made for: a burst of items on targets of which a third is steadily slower. The quick
-/// ones have slots, but a few runs that have not begun hold them back for a round trip; placed at
-/// once, the next long items go to slow targets and end there a second later. Waiting a round trip
-/// costs less. An item waits `quick_wait_most` at most, so that nothing starves behind a target
-/// that begins no run.
-[[nodiscard]] bool better_soon(placement_round& round, const run_need& need,
-                               const target_state& now_free);
-
-/// The longest wait of an item for a quicker target.
-inline constexpr milliseconds quick_wait_most{400};
-
-/// How far a run has come.
+/// Designed for a burst of items on targets of which a third is permanently slower. The faster ones
+/// have free slots, but a few unstarted runs block them for a round trip. Long items placed at once
+/// would go to slow targets and complete a second later; waiting a round trip costs less. An item
+/// waits at most `max_wait_for_faster`, so that it does not starve behind a target that starts no
+/// run.
+[[nodiscard]] bool faster_target_soon(placement_round& round, const run_requirements& requirements,
+                                      const target_state& available);
+
+/// How long an item may wait for a faster target.
+inline constexpr milliseconds max_wait_for_faster{400};
+
+/// The progress of a run.
 struct run_progress {
-    double silent_ms = 0;    ///< Since the last event, or since the request was sent.
-    bool started = false;    ///< An event has come.
-    double due_ms = 0;       ///< Until the batch's deadline.
-    bool moved_late = false; ///< Its text was moved once to be in time; once is enough.
+    double silent_ms = 0;      ///< Since the last event, or since the request was sent.
+    bool started = false;      ///< At least one event has arrived.
+    double ms_to_deadline = 0; ///< Until the batch's deadline; negative: it has passed.
+    bool moved_late = false; ///< The item was moved to meet the deadline, which is done once only.
 };
 
-enum class run_verdict { stay, move_slow, move_late, move_silent, move_queued };
+enum class run_decision { stay, move_slow, move_late, move_silent, move_queued };
 
-/// Whether a run should be taken from its target and continued elsewhere.
+/// Whether a run should be moved to another target.
 ///
-/// A move costs a cancelled request, one round trip and the prompt once more, some 60 ms in all; a
-/// target three times as slow costs seconds over a long item. It moves when another target with
-/// room is expected to end it earlier by more than that, or when the target has been silent for
-/// longer than a load of new weights or a stolen slice of processor explains. A target that is a
-/// little slower than others is left only by texts that may outlast the deadline there: moving all
-/// of them would fill the quick targets.
-[[nodiscard]] run_verdict judge_run(placement_round& round, target_state& current,
-                                    const run_progress& progress, const run_need& need);
-
-/// Usual pace of the service's targets in ms an event; nothing before any was measured.
+/// A move costs a cancelled request, one round trip and a second prefill, about 60 ms in all; a
+/// target three times as slow costs seconds on a long item. A run is moved if another target with
+/// capacity is expected to complete it earlier by more than that cost, or if its target has been
+/// silent for longer than loading new weights or being descheduled can explain. Only texts that may
+/// miss the deadline leave a slightly slower target: moving all of them would fill the fast ones.
+[[nodiscard]] run_decision evaluate_run(placement_round& round, target_state& current,
+                                        const run_progress& progress,
+                                        const run_requirements& requirements);
+
+/// Median pace of the service's targets in ms per event; empty before any has been measured.
 [[nodiscard]] std::optional<double> median_pace(const target_table& table,
                                                 std::string_view service);
 
-/// Whether the target is so much slower than the others of its service, with this median pace, that
-/// it gets no new weights.
+/// Whether the target is much slower than `median`, the median pace of its service. Such a target
+/// gets no new weights.
 [[nodiscard]] bool is_slow(const target_state& target, std::optional<double> median);
 
 } // namespace cornelloom::front
--- a/src/front/text_length.cpp
+++ b/src/front/text_length.cpp
@@ -9,56 +9,62 @@
 
 namespace {
 
-/// What is assumed at first counts as so many texts.
-constexpr double assumed_samples = 20;
-/// Later texts count for more than the oldest ones, which other weights generated.
-constexpr double remembered_samples = 500;
-/// A text of few events says little of the ratio: its last event may be nearly empty.
-constexpr double least_events = 6;
-/// Beyond this deviation the tail of a normal distribution is too thin to divide by.
-constexpr double deviation_most = 6;
-constexpr double least_deviation = 0.05;
+/// Weight of the initial estimates, as a number of texts.
+constexpr double initial_samples = 20;
+/// Bounds the sample count, so that new texts outweigh old ones, which other weights generated.
+constexpr double max_samples = 500;
+/// Texts with fewer expected events are ignored: their last event may be almost empty, which
+/// distorts the ratio.
+constexpr double min_expected_events = 6;
+/// In standard deviations; the tail of the normal distribution beyond is too small to divide by.
+constexpr double max_deviations = 6;
+constexpr double min_deviation = 0.05;
 
-double expected_events(const length_model& lengths, double tokens) {
-    return std::max(tokens, 1.0) * std::exp(lengths.mean_log);
+double expected_events(const length_model& model, double tokens) {
+    return std::max(tokens, 1.0) * std::exp(model.mean_log_ratio);
 }
 
 } // namespace
 
-const length_model& find_lengths(const length_models& all, std::string_view model) {
-    static const length_model assumed;
-    const auto found = all.find(model);
-    return found == all.end() ? assumed : found->second;
+const length_model& find_length_model(const length_models& models, std::string_view model) {
+    static const length_model initial;
+    const auto found = models.find(model);
+    return found == models.end() ? initial : found->second;
 }
 
-void note_length(length_model& lengths, int hint_tokens, double events) {
-    // Chosen by the hint, never by the outcome: that would bias the ratio.
-    if (hint_tokens <= 0 || events <= 0 || expected_events(lengths, hint_tokens) < least_events) {
+void record_length(length_model& model, int hint_tokens, double events) {
+    // Selects texts by the hint, not by the actual length, which would bias the ratio.
+    if (hint_tokens <= 0 || events <= 0 ||
+        expected_events(model, hint_tokens) < min_expected_events) {
         return;
     }
-    lengths.samples = std::min(lengths.samples + 1, remembered_samples);
-    const double weight = 1 / (lengths.samples + assumed_samples);
-    const double off = std::log(events / hint_tokens) - lengths.mean_log;
-    lengths.mean_log += weight * off;
-    lengths.variance_log += weight * (off * off - lengths.variance_log);
+    model.samples = std::min(model.samples + 1, max_samples);
+    const double weight = 1 / (model.samples + initial_samples);
+    const double deviation = std::log(events / hint_tokens) - model.mean_log_ratio;
+    model.mean_log_ratio += weight * deviation;
+    model.variance_log_ratio += weight * (deviation * deviation - model.variance_log_ratio);
 }
 
-double events_left(const length_model& lengths, const text_outlook& text, double chance) {
+double events_left(const length_model& model, const text_progress& text, double probability) {
     using normal = boost::math::normal;
-    const normal deviations;
-    const double usual = expected_events(lengths, text.hint_tokens);
-    const double deviation = std::max(std::sqrt(lengths.variance_log), least_deviation);
-    double beyond = 1; // the chance that it comes as far as it has
+    const normal standard_normal;
+    const double median_events = expected_events(model, text.hint_tokens);
+    const double deviation = std::max(std::sqrt(model.variance_log_ratio), min_deviation);
+    double reached_probability =
+        1; // probability that a text becomes as long as this one already is
     if (text.events_done > 0) {
-        const double reached = std::log(text.events_done / usual) / deviation;
-        beyond = cdf(complement(deviations, std::min(reached, deviation_most)));
+        const double reached = std::log(text.events_done / median_events) / deviation;
+        reached_probability = cdf(complement(standard_normal, std::min(reached, max_deviations)));
     }
-    const double exceeded = std::clamp(beyond * chance, 1e-12, 1 - 1e-12);
-    double whole = usual * std::exp(deviation * quantile(complement(deviations, exceeded)));
-    if (text.most_tokens > 0) {
-        whole = std::min(whole, expected_events(lengths, text.most_tokens));
+    const double exceeded_probability =
+        std::clamp(reached_probability * probability, 1e-12, 1 - 1e-12);
+    double total_events =
+        median_events *
+        std::exp(deviation * quantile(complement(standard_normal, exceeded_probability)));
+    if (text.max_tokens > 0) {
+        total_events = std::min(total_events, expected_events(model, text.max_tokens));
     }
-    return std::max(whole - text.events_done, 1.0);
+    return std::max(total_events - text.events_done, 1.0);
 }
 
 } // namespace cornelloom::front
--- a/src/front/text_length.hpp
+++ b/src/front/text_length.hpp
@@ -6,34 +6,37 @@
 
 namespace cornelloom::front {
 
-/// How long texts become, against what their callers expect.
+/// A model of text lengths, relative to the callers' hints.
 ///
-/// A caller's hint is a number of tokens and right at the median only; a target's events carry a
-/// number of tokens that nobody states. So the ratio of events to hinted tokens is learned from
-/// finished texts, on a logarithmic scale, where its deviations are about normal.
+/// A hint is a number of tokens and is right only at the median. The number of tokens per event
+/// depends on the target and is not known. So the ratio of events to hinted tokens is learned from
+/// finished texts, on a logarithmic scale, where it is about normally distributed.
 struct length_model {
-    double mean_log = -4.0;    ///< Of events a hinted token; at first, 55 tokens an event.
-    double variance_log = 0.3; ///< Of the same; at first, half of the texts are within 40%.
-    double samples = 0;        ///< Finished texts that it has learned from.
+    double mean_log_ratio = -4.0;    ///< Of events per hinted token; initially 55 tokens per event.
+    double variance_log_ratio = 0.3; ///< Of the same; initially half of the texts are within 40%.
+    double samples = 0;              ///< Finished texts learned from, up to a bound.
 };
 
-/// By model of the weights.
+/// By name of the model whose weights generate the texts.
 using length_models = std::map<std::string, length_model, std::less<>>;
 
-[[nodiscard]] const length_model& find_lengths(const length_models& all, std::string_view model);
+/// The length model for the named model, or the initial one if none of its texts has finished.
+[[nodiscard]] const length_model& find_length_model(const length_models& models,
+                                                    std::string_view model);
 
-/// Learns from a finished text.
-void note_length(length_model& lengths, int hint_tokens, double events);
+/// Updates the model with a finished text of that many events.
+void record_length(length_model& model, int hint_tokens, double events);
 
-/// What is known of one text.
-struct text_outlook {
+/// What is known about one text.
+struct text_progress {
     double hint_tokens = 0;
-    double most_tokens = 0; ///< The bound that its caller set; 0: none.
+    double max_tokens = 0; ///< The limit that the caller set; 0: none.
     double events_done = 0;
 };
 
-/// Events still to come that the text exceeds with this chance, given how far it has come.
-[[nodiscard]] double events_left(const length_model& lengths, const text_outlook& text,
-                                 double chance);
+/// The number of remaining events that the text exceeds with this probability, given its length so
+/// far; at least 1.
+[[nodiscard]] double events_left(const length_model& model, const text_progress& text,
+                                 double probability);
 
 } // namespace cornelloom::front
--- a/tests/front/placement_tests.cpp
+++ b/tests/front/placement_tests.cpp
@@ -15,9 +15,9 @@
 
 target_table make_table(int count, int slots = 16) {
     target_table table;
-    for (int at = 0; at < count; ++at) {
+    for (int index = 0; index < count; ++index) {
         target_entry entry;
-        entry.id = "target-" + std::to_string(at);
+        entry.id = "target-" + std::to_string(index);
         entry.service = "engines";
         entry.zone = "zone-a";
         entry.slots = slots;
@@ -28,118 +28,123 @@
     return table;
 }
 
-run_need need() {
-    run_need out;
-    out.service = "engines";
-    out.model = "notes";
-    out.oldest_version = 5;
-    out.events_left = 50;
-    return out;
+run_requirements typical_requirements() {
+    run_requirements requirements;
+    requirements.service = "engines";
+    requirements.model = "notes";
+    requirements.oldest_version = 5;
+    requirements.events_left = 50;
+    return requirements;
 }
 
-const distance here{1, "zone-a", nullptr};
+const distance origin{1, "zone-a", nullptr};
 
-target_state* choose_run(target_table& table, const run_need& need, const distance& from,
-                         time_point when) {
+target_state* choose_target(target_table& table, const run_requirements& requirements,
+                            const distance& from, time_point when) {
     auto round = begin_placement(table, from, when);
-    return choose_run(round, need);
+    return choose_target(round, requirements);
 }
 
-bool better_soon(target_table& table, const run_need& need, const target_state& now_free,
-                 const distance& from, time_point when) {
+bool faster_target_soon(target_table& table, const run_requirements& requirements,
+                        const target_state& available, const distance& from, time_point when) {
     auto round = begin_placement(table, from, when);
-    return better_soon(round, need, now_free);
+    return faster_target_soon(round, requirements, available);
 }
 
-run_verdict judge_run(target_table& table, target_state& current, const run_progress& progress,
-                      const run_need& need, const distance& from, time_point when) {
+run_decision evaluate_run(target_table& table, target_state& current, const run_progress& progress,
+                          const run_requirements& requirements, const distance& from,
+                          time_point when) {
     auto round = begin_placement(table, from, when);
-    return judge_run(round, current, progress, need);
+    return evaluate_run(round, current, progress, requirements);
 }
 
-/// Places a burst at one moment: no run has begun yet.
-std::map<std::string, int> place(target_table& table, int items) {
-    std::map<std::string, int> out;
-    for (int at = 0; at < items; ++at) {
-        if (auto* target = choose_run(table, need(), here, now)) {
+/// Places a burst of items before any of them has started. Returns the items per target.
+std::map<std::string, int> place_burst(target_table& table, int items) {
+    std::map<std::string, int> items_per_target;
+    for (int index = 0; index < items; ++index) {
+        if (auto* target = choose_target(table, typical_requirements(), origin, now)) {
             ++target->running;
             ++target->unstarted;
-            ++out[target->entry.id];
+            ++items_per_target[target->entry.id];
         }
     }
-    return out;
+    return items_per_target;
 }
 
 } // namespace
 
-TEST_CASE("a burst is spread and no target gets more than it may hold up", "[front][placement]") {
-    // Eighty items come at once, and other hosts send theirs to the same targets. Sixteen at one
-    // target were rejected, or waited behind others while there were free slots elsewhere.
+TEST_CASE("a burst is spread and no target gets too many items that have not started",
+          "[front][placement]") {
+    // Guards against bursts that overload a target: with eighty items at once, and other hosts
+    // sending theirs to the same targets, sixteen items on one target were rejected, or queued
+    // while other targets had free slots.
     auto table = make_table(9);
-    const auto placed = place(table, 80);
+    const auto placed = place_burst(table, 80);
     CHECK(placed.size() == 9);
     CHECK(std::ranges::all_of(placed, [](const auto& each) { return each.second == 4; }));
-    SECTION("once they have begun, the next ones follow, up to the slots") {
+    SECTION("once these have started, more follow until all slots are in use") {
         for (int round = 0; round < 6; ++round) {
             for (auto& [id, target] : table.by_id) {
                 target.unstarted = 0;
             }
-            place(table, 80);
+            place_burst(table, 80);
         }
         CHECK(std::ranges::all_of(table.by_id,
                                   [](const auto& each) { return each.second.running == 16; }));
     }
 }
 
-TEST_CASE("a burst on a thousand targets leaves its host time for everything else",
+TEST_CASE("placing a burst on a thousand targets takes little processor time",
           "[front][placement]") {
-    // Guards against an owner that answers nobody for seconds while it places a batch: its peers
-    // took it for lost, and each one that took the batch over went silent in turn.
+    // Guards against an owner that blocks for seconds while it places a batch: its peers considered
+    // it lost, and each one that took the batch over blocked in turn.
     auto table = make_table(1000, 1);
     for (auto& [id, target] : table.by_id) {
         target.pace_ms = 0;
     }
     table.by_id["target-0"].pace_ms = 40;
     const auto started = std::clock();
-    auto round = begin_placement(table, here, now);
-    for (int at = 0; at < 200; ++at) {
-        auto* target = choose_run(round, need());
+    auto round = begin_placement(table, origin, now);
+    for (int index = 0; index < 200; ++index) {
+        auto* target = choose_target(round, typical_requirements());
         REQUIRE(target != nullptr);
         ++target->running;
         ++target->unstarted;
-        REQUIRE_FALSE(better_soon(round, need(), *target));
+        REQUIRE_FALSE(faster_target_soon(round, typical_requirements(), *target));
     }
     for (auto& [id, target] : table.by_id) {
-        REQUIRE(judge_run(round, target, {20, true}, need()) == run_verdict::stay);
+        REQUIRE(evaluate_run(round, target, {20, true}, typical_requirements()) ==
+                run_decision::stay);
     }
     const auto seconds = static_cast<double>(std::clock() - started) / CLOCKS_PER_SEC;
-    // A quarter of a processor, for a quarter of the 200 ms between two looks at the items.
+    // A quarter of a processor, for a quarter of the 200 ms between two checks of the items.
     CHECK(seconds < 0.0125);
 }
 
 TEST_CASE("long items avoid a target that is three times as slow", "[front][placement]") {
-    // One target runs at a third of the pace; a long item there ends seconds after its step is due.
+    // A long item on a target that is three times as slow completes seconds after the deadline of
+    // its step.
     auto table = make_table(4);
     table.by_id["target-0"].pace_ms = 120;
-    CHECK_FALSE(place(table, 12).contains("target-0"));
+    CHECK_FALSE(place_burst(table, 12).contains("target-0"));
 }
 
 TEST_CASE("only targets with weights that are new enough get an item", "[front][placement]") {
     auto table = make_table(2);
     table.by_id["target-0"].entry.versions["notes"] = 4;
-    CHECK(place(table, 3).size() == 1);
+    CHECK(place_burst(table, 3).size() == 1);
     SECTION("and none of them while all are older") {
         table.by_id["target-1"].entry.versions["notes"] = 4;
-        CHECK(choose_run(table, need(), here, now) == nullptr);
+        CHECK(choose_target(table, typical_requirements(), origin, now) == nullptr);
     }
-    SECTION("a text of one version goes on with just this") {
-        auto exact = need();
+    SECTION("a text that must not mix versions continues on its own version") {
+        auto exact = typical_requirements();
         exact.exact_version = 4;
-        CHECK(choose_run(table, exact, here, now)->entry.id == "target-0");
+        CHECK(choose_target(table, exact, origin, now)->entry.id == "target-0");
     }
 }
 
-TEST_CASE("a target that leaves, loads or has just failed gets no item", "[front][placement]") {
+TEST_CASE("a draining, loading or recently failed target gets no item", "[front][placement]") {
     auto table = make_table(1);
     auto& target = table.by_id["target-0"];
     SECTION("leaves") {
@@ -151,68 +156,75 @@
     SECTION("failed") {
         note_fault(target, now);
     }
-    CHECK(choose_run(table, need(), here, now) == nullptr);
+    CHECK(choose_target(table, typical_requirements(), origin, now) == nullptr);
 }
 
-TEST_CASE("a run moves when it would end earlier elsewhere by more than the move costs",
-          "[front][placement][move]") {
+TEST_CASE("a run moves if that saves more time than the move costs", "[front][placement][move]") {
     auto table = make_table(3);
     auto& slow = table.by_id["target-0"];
     slow.pace_ms = 130;
     const run_progress progress{20, true};
-    CHECK(judge_run(table, slow, progress, need(), here, now) == run_verdict::move_slow);
+    CHECK(evaluate_run(table, slow, progress, typical_requirements(), origin, now) ==
+          run_decision::move_slow);
     SECTION("but not for its last events") {
-        auto last_events = need();
+        auto last_events = typical_requirements();
         last_events.events_left = 2;
-        CHECK(judge_run(table, slow, progress, last_events, here, now) == run_verdict::stay);
+        CHECK(evaluate_run(table, slow, progress, last_events, origin, now) == run_decision::stay);
     }
     SECTION("nor to targets that have no room") {
         for (auto& [id, target] : table.by_id) {
             target.running = 16;
         }
-        CHECK(judge_run(table, slow, progress, need(), here, now) == run_verdict::stay);
+        CHECK(evaluate_run(table, slow, progress, typical_requirements(), origin, now) ==
+              run_decision::stay);
     }
     SECTION("nor when all are equally slow") {
         for (auto& [id, target] : table.by_id) {
             target.pace_ms = 130;
         }
-        CHECK(judge_run(table, slow, progress, need(), here, now) == run_verdict::stay);
+        CHECK(evaluate_run(table, slow, progress, typical_requirements(), origin, now) ==
+              run_decision::stay);
     }
 }
 
-TEST_CASE("a run on a silent target moves, one behind a load of weights stays",
+TEST_CASE("a run on a silent target moves unless a load of weights explains the silence",
           "[front][placement][move]") {
-    // A crashed target sends nothing, and its connection may stay open without a reset. A load of
-    // new weights makes a target silent for 0.9 s, too: moving then would read every prompt again.
+    // A crashed target sends nothing, and its connection may stay open without a reset. A target
+    // that loads new weights is silent for 0.9 s as well; moving its runs would repeat every
+    // prefill.
     auto table = make_table(2);
     auto& target = table.by_id["target-0"];
-    CHECK(judge_run(table, target, {1000, true}, need(), here, now) == run_verdict::stay);
-    CHECK(judge_run(table, target, {1500, true}, need(), here, now) == run_verdict::move_silent);
+    CHECK(evaluate_run(table, target, {1000, true}, typical_requirements(), origin, now) ==
+          run_decision::stay);
+    CHECK(evaluate_run(table, target, {1500, true}, typical_requirements(), origin, now) ==
+          run_decision::move_silent);
 }
 
-TEST_CASE("an item that waits at a full target goes where there is a free slot",
+TEST_CASE("an item that is queued on a full target moves to a free slot",
           "[front][placement][move]") {
-    // Other hosts have filled the target. Its health is good and it is not slow: the item just
-    // waits, while another target could begin it at once.
+    // Other hosts have filled the target. It is healthy and not slow, but the item is queued there
+    // while another target could start it at once.
     auto table = make_table(2);
     auto& full = table.by_id["target-0"];
     full.unstarted = 4;
     const run_progress waiting{600, false};
-    CHECK(judge_run(table, full, waiting, need(), here, now) == run_verdict::move_queued);
-    SECTION("and stays where it is when items wait there as well") {
+    CHECK(evaluate_run(table, full, waiting, typical_requirements(), origin, now) ==
+          run_decision::move_queued);
+    SECTION("but stays if items are queued there as well") {
         table.by_id["target-1"].unstarted = 1;
-        CHECK(judge_run(table, full, waiting, need(), here, now) == run_verdict::stay);
+        CHECK(evaluate_run(table, full, waiting, typical_requirements(), origin, now) ==
+              run_decision::stay);
     }
 }
 
 namespace {
 
-/// Forty-eight targets of which every third is 1.3 times slower all day.
-target_table make_unequal() {
+/// Forty-eight targets, every third of which is permanently 1.3 times slower.
+target_table make_unequal_table() {
     auto table = make_table(48, 8);
-    int at = 0;
+    int index = 0;
     for (auto& [id, target] : table.by_id) {
-        const double pace = at++ % 3 == 2 ? 65 : 50;
+        const double pace = index++ % 3 == 2 ? 65 : 50;
         target.pace_ms = 0;
         for (int event = 0; event < 40; ++event) {
             note_event_gap(target, pace);
@@ -221,14 +233,14 @@
     return table;
 }
 
-bool is_quick(const target_state& target) {
+bool is_fast(const target_state& target) {
     return likely_pace(target) < 60;
 }
 
-/// Fills what the quick targets may hold up.
-void hold_up_quick(target_table& table) {
+/// Gives each fast target as many unstarted runs as it may have.
+void fill_fast_targets(target_table& table) {
     for (auto& [id, target] : table.by_id) {
-        if (is_quick(target)) {
+        if (is_fast(target)) {
             target.running = target.unstarted = 2;
         }
     }
@@ -236,60 +248,60 @@
 
 } // namespace
 
-TEST_CASE("the longest texts of a burst wait a moment for a quick target",
-          "[front][placement][unequal]") {
-    // A step is two seconds late on a quiet day. A third of the targets is steadily slower; the
-    // quick ones had free slots, but runs that had not begun held them back when a long text was
-    // placed, so it went to a slow one and needed 9.5 s of the 7.5 s that the step had.
-    auto table = make_unequal();
-    hold_up_quick(table);
-    auto long_text = need();
+TEST_CASE("long texts of a burst wait briefly for a fast target", "[front][placement][unequal]") {
+    // Guards against a step that is two seconds late without any fault. A third of the targets is
+    // permanently slower. The fast ones had free slots, but were blocked by unstarted runs when a
+    // long text was placed, so it went to a slow one and took 9.5 s of the 7.5 s that the step had.
+    auto table = make_unequal_table();
+    fill_fast_targets(table);
+    auto long_text = typical_requirements();
     long_text.events_left = 149;
-    const auto* slow = choose_run(table, long_text, here, now);
+    const auto* slow = choose_target(table, long_text, origin, now);
     REQUIRE(slow != nullptr);
-    REQUIRE_FALSE(is_quick(*slow));
-    CHECK(better_soon(table, long_text, *slow, here, now));
+    REQUIRE_FALSE(is_fast(*slow));
+    CHECK(faster_target_soon(table, long_text, *slow, origin, now));
     SECTION("short texts go to the slow targets at once") {
-        auto short_text = need();
+        auto short_text = typical_requirements();
         short_text.events_left = 4;
-        CHECK_FALSE(better_soon(table, short_text, *slow, here, now));
+        CHECK_FALSE(faster_target_soon(table, short_text, *slow, origin, now));
     }
     SECTION("nothing waits for a target without a free slot") {
         for (auto& [id, target] : table.by_id) {
-            target.running = is_quick(target) ? 8 : target.running;
+            target.running = is_fast(target) ? 8 : target.running;
         }
-        CHECK_FALSE(better_soon(table, long_text, *slow, here, now));
+        CHECK_FALSE(faster_target_soon(table, long_text, *slow, origin, now));
     }
-    SECTION("nor for one that is quicker by chance only") {
+    SECTION("nor for one that is only slightly faster") {
         for (auto& [id, target] : table.by_id) {
-            target.steady_pace_ms = is_quick(target) ? 50 : 54;
+            target.steady_pace_ms = is_fast(target) ? 50 : 54;
         }
-        CHECK_FALSE(better_soon(table, long_text, *slow, here, now));
+        CHECK_FALSE(faster_target_soon(table, long_text, *slow, origin, now));
     }
 }
 
-TEST_CASE("a text that may miss the deadline leaves a slower target once",
+TEST_CASE("a text that may miss the deadline moves away from a slower target once",
           "[front][placement][unequal]") {
-    // The same step, when the long text has begun on a slow target: it outgrew its hint, and
-    // stayed, because the target was not slow enough to be left by every text.
-    auto table = make_unequal();
+    // Guards against the same late step if the long text has started on a slow target: it became
+    // longer than its hint and stayed, because the target was not slow enough for all texts to
+    // leave.
+    auto table = make_unequal_table();
     auto& slow = std::ranges::find_if(table.by_id, [](const auto& each) {
-                     return !is_quick(each.second);
+                     return !is_fast(each.second);
                  })->second;
-    auto text = need();
+    auto text = typical_requirements();
     text.events_left = 140;
     run_progress progress{20, true, 7200};
-    CHECK(judge_run(table, slow, progress, text, here, now) == run_verdict::move_late);
+    CHECK(evaluate_run(table, slow, progress, text, origin, now) == run_decision::move_late);
     SECTION("not a second time") {
         progress.moved_late = true;
-        CHECK(judge_run(table, slow, progress, text, here, now) == run_verdict::stay);
+        CHECK(evaluate_run(table, slow, progress, text, origin, now) == run_decision::stay);
     }
-    SECTION("not while it ends in time here") {
+    SECTION("not if it completes in time here") {
         text.events_left = 60;
-        CHECK(judge_run(table, slow, progress, text, here, now) == run_verdict::stay);
+        CHECK(evaluate_run(table, slow, progress, text, origin, now) == run_decision::stay);
     }
-    SECTION("not when the deadline has passed: all would move at once") {
-        progress.due_ms = -100;
-        CHECK(judge_run(table, slow, progress, text, here, now) == run_verdict::stay);
+    SECTION("not after the deadline, when all texts would move at once") {
+        progress.ms_to_deadline = -100;
+        CHECK(evaluate_run(table, slow, progress, text, origin, now) == run_decision::stay);
     }
 }
