--- a/src/front/batch_desk.cpp
+++ b/src/front/batch_desk.cpp
@@ -60,8 +60,8 @@
         co_await refuse(*self, request, batch->state.header.id, "not_stored_yet", come_back_soon);
         co_return;
     }
-    bool ended = batch->state.ended;
-    if (!ended) {
+    bool is_ended = batch->state.ended;
+    if (!is_ended) {
         const auto build_entry = [](const live_batch& current) -> std::optional<log_entry> {
             if (current.state.ended) {
                 return std::nullopt;
@@ -74,10 +74,10 @@
             return entry;
         };
         co_await append_entry(batch, build_entry, self->now() + entry_append_timeout);
-        ended = batch->state.ended;
+        is_ended = batch->state.ended;
     }
     batch->changed.open();
-    if (ended) {
+    if (is_ended) {
         co_await answer_status(request, 200);
     } else {
         co_await fail(*self, request, batch->state.header.id, "end of batch could not be stored",
@@ -132,19 +132,19 @@
 } // namespace
 
 transport::http_request peer_call(std::string_view path, const std::string& id) {
-    transport::http_request request;
-    request.method = "POST";
-    request.path = path;
-    request.query = "id=" + id;
-    request.headers.push_back({"Host", "peer"});
-    return request;
+    transport::http_request peer_request;
+    peer_request.method = "POST";
+    peer_request.path = path;
+    peer_request.query = "id=" + id;
+    peer_request.headers.push_back({"Host", "peer"});
+    return peer_request;
 }
 
 loop::task<loaded_batch> get_batch(std::shared_ptr<batch_desk> registry, std::string id) {
     for (;;) {
-        const auto known = registry->known.find(id);
-        if (known != registry->known.end()) {
-            co_return loaded_batch{known->second, false};
+        const auto known_batch = registry->known.find(id);
+        if (known_batch != registry->known.end()) {
+            co_return loaded_batch{known_batch->second, false};
         }
         const auto pending = registry->loading.find(id);
         if (pending == registry->loading.end()) {
--- a/src/front/batch_drive.cpp
+++ b/src/front/batch_drive.cpp
@@ -99,23 +99,23 @@
 
 run_progress run_progress_of(const live_batch& batch, std::size_t index, const item_run& run) {
     const auto now = batch.self->now();
-    run_progress progress;
-    progress.silent_ms = ms_between(run.last_event, now);
-    progress.started = run.events > 0;
-    progress.ms_to_deadline = ms_between(now, deadline_of(batch));
-    progress.moved_late = batch.state.items[index].moved_late;
-    return progress;
+    run_progress current_progress;
+    current_progress.silent_ms = ms_between(run.last_event, now);
+    current_progress.started = run.events > 0;
+    current_progress.ms_to_deadline = ms_between(now, deadline_of(batch));
+    current_progress.moved_late = batch.state.items[index].moved_late;
+    return current_progress;
 }
 
-void move_run(live_batch& batch, std::size_t index, item_run& run, std::string_view why,
+void move_run(live_batch& batch, std::size_t index, item_run& run, std::string_view reason,
               const run_progress& progress) {
     note(*batch.self, item_run_ended,
          {{"id", batch.state.spec.items[index].id},
           {"target", run.target},
-          {"why", why},
+          {"why", reason},
           {"silent_ms", progress.silent_ms},
           {"due_ms", progress.ms_to_deadline}});
-    const kernel::label reason_label{"reason", why};
+    const kernel::label reason_label{"reason", reason};
     const kernel::label kind_label{"kind", "item"};
     const std::array labels{reason_label, kind_label};
     batch.self->metrics.count("cornelloom_retries_total", labels);
--- a/src/front/batch_submit.cpp
+++ b/src/front/batch_submit.cpp
@@ -11,15 +11,15 @@
 batch_header make_header(host& self, const caller_request& caller, const std::string& path,
                          std::string account) {
     const auto runner = choose_runner(self);
-    batch_header header;
-    header.id = caller.id;
-    header.host = caller.host;
-    header.path = path;
-    header.account = std::move(account);
-    header.owner = runner.name;
-    header.owner_at = runner.where;
-    header.received_ms = self.clock.wall_now().unix_ms;
-    return header;
+    batch_header new_header;
+    new_header.id = caller.id;
+    new_header.host = caller.host;
+    new_header.path = path;
+    new_header.account = std::move(account);
+    new_header.owner = runner.name;
+    new_header.owner_at = runner.where;
+    new_header.received_ms = self.clock.wall_now().unix_ms;
+    return new_header;
 }
 
 /// Withdraws the early start of a batch that could not be stored and tells the caller that it is
--- a/src/front/item_run.cpp
+++ b/src/front/item_run.cpp
@@ -25,7 +25,7 @@
 enum class run_outcome { complete, retry, failed, unprocessable };
 
 struct run_result {
-    run_outcome outcome = run_outcome::retry;
+    run_outcome kind = run_outcome::retry;
     std::string reason{};
 };
 
@@ -60,16 +60,16 @@
 
 void record_event(live_batch& batch, item_run& run) {
     const auto now = batch.self->now();
-    const auto target = batch.self->targets.by_id.find(run.target);
-    if (run.events > 0 && target != batch.self->targets.by_id.end()) {
-        note_event_gap(target->second, ms_between(run.last_event, now));
+    const auto run_target = batch.self->targets.by_id.find(run.target);
+    if (run.events > 0 && run_target != batch.self->targets.by_id.end()) {
+        note_event_gap(run_target->second, ms_between(run.last_event, now));
     }
     run.last_event = now;
     if (run.events == 0) {
         run.first_event = now;
     }
-    if (run.events == 0 && target != batch.self->targets.by_id.end()) {
-        --target->second.unstarted;
+    if (run.events == 0 && run_target != batch.self->targets.by_id.end()) {
+        --run_target->second.unstarted;
         batch.changed.open(); // the target can accept the next waiting item
     }
     ++run.events;
@@ -89,12 +89,12 @@
 loop::task<run_result> read_events(live_batch_ptr batch, std::size_t index, route item_route,
                                    int version) {
     auto& run = batch->runs.at(index);
-    auto exchange = run.link;
+    auto connection = run.link;
     std::string buffer;
     std::string chunk;
-    while (!exchange->complete()) {
+    while (!connection->complete()) {
         // No timeout here: evaluate_run() detects silent targets and takes their load into account.
-        const auto fault = co_await exchange->read_piece(loop::deadline::max(), chunk);
+        const auto fault = co_await connection->read_piece(loop::deadline::max(), chunk);
         if (fault != loop::exchange_fault::none) {
             co_return run_result{run_outcome::retry, std::string(to_string(fault))};
         }
@@ -116,12 +116,12 @@
                              : run_result{run_outcome::retry, "stream ended inside an event"};
 }
 
-run_result handle_error_status(live_batch& batch, std::size_t index, const target_answer& answer,
+run_result handle_error_status(live_batch& batch, std::size_t index, const target_answer& reply,
                                int status) {
     auto& self = *batch.self;
     const auto reason = "status " + std::to_string(status);
     const auto found = self.targets.by_id.find(batch.runs.at(index).target);
-    if (answer.not_run || status == 421) {
+    if (reply.not_run || status == 421) {
         if (found != self.targets.by_id.end()) {
             auto& target = found->second;
             const bool has_free_slots = target.running * 2 <= target.entry.slots;
@@ -149,9 +149,9 @@
 
 loop::task<run_result> send_item(live_batch_ptr batch, std::size_t index, route item_route) {
     auto self = batch->self;
-    auto exchange = batch->runs.at(index).link;
+    auto connection = batch->runs.at(index).link;
     const auto& item = batch->state.spec.items[index];
-    auto fault = co_await exchange->open(loop::after(connect_timeout), true);
+    auto fault = co_await connection->open(loop::after(connect_timeout), true);
     if (fault != loop::exchange_fault::none) {
         co_return run_result{run_outcome::retry, std::string(to_string(fault))};
     }
@@ -160,37 +160,37 @@
     const forward_terms terms{batch->runs.at(index).target, time_left,
                               batch->state.items[index].done.last_event, forwarded_account(*batch)};
     const auto message = self->wire.item(item, batch->state.header.host, terms);
-    fault = co_await exchange->send(message, loop::after(connect_timeout * 4));
+    fault = co_await connection->send(message, loop::after(connect_timeout * 4));
     if (fault == loop::exchange_fault::none) {
-        fault = co_await exchange->read_head(loop::deadline::max());
+        fault = co_await connection->read_head(loop::deadline::max());
     }
     if (fault != loop::exchange_fault::none) {
         co_return run_result{run_outcome::retry, std::string(to_string(fault))};
     }
-    const auto answer = self->wire.answer(exchange->headers());
-    if (!answer.request_id.empty() && answer.request_id != item.id) {
+    const auto reply = self->wire.answer(connection->headers());
+    if (!reply.request_id.empty() && reply.request_id != item.id) {
         co_return run_result{run_outcome::retry, "answer to another request"};
     }
-    if (exchange->status() != 200) {
-        const int status = exchange->status();
+    if (connection->status() != 200) {
+        const int status = connection->status();
         std::string discarded_body; // read only so that the connection can be reused
         const auto drain_fault =
-            co_await exchange->read_rest(loop::after(connect_timeout), discarded_body, 1U << 20U);
+            co_await connection->read_rest(loop::after(connect_timeout), discarded_body, 1U << 20U);
         if (drain_fault == loop::exchange_fault::none) {
-            exchange->finish();
+            connection->finish();
         }
-        co_return handle_error_status(*batch, index, answer, status);
+        co_return handle_error_status(*batch, index, reply, status);
     }
-    if (answer.version > 0 &&
-        !may_continue_text(*batch, item_route, batch->state.items[index], answer.version)) {
-        if (answer.version >= batch->state.spec.oldest_version) {
+    if (reply.version > 0 &&
+        !may_continue_text(*batch, item_route, batch->state.items[index], reply.version)) {
+        if (reply.version >= batch->state.spec.oldest_version) {
             batch->state.items[index].done = {};
         }
-        co_return run_result{run_outcome::retry, "version " + std::to_string(answer.version)};
+        co_return run_result{run_outcome::retry, "version " + std::to_string(reply.version)};
     }
-    auto result = co_await read_events(batch, index, item_route, answer.version);
-    if (result.outcome == run_outcome::complete) {
-        exchange->finish();
+    auto result = co_await read_events(batch, index, item_route, reply.version);
+    if (result.kind == run_outcome::complete) {
+        connection->finish();
     }
     co_return result;
 }
@@ -210,14 +210,14 @@
         auto& target = found->second;
         target.running = std::max(0, target.running - 1);
         target.unstarted -= run.events == 0 ? 1 : 0;
-        const bool target_failed = result.outcome == run_outcome::retry && !run.moving &&
+        const bool target_failed = result.kind == run_outcome::retry && !run.moving &&
                                    !result.reason.starts_with("not run") &&
                                    !result.reason.starts_with("version");
         if (target_failed && batch.owned && !is_over(batch.state)) {
             note_fault(target, self.now());
         }
     }
-    if (result.outcome == run_outcome::complete) {
+    if (result.kind == run_outcome::complete) {
         record_text_length(batch, index);
         note(self, item_texted,
              {{"id", batch.state.spec.items[index].id},
@@ -247,12 +247,12 @@
 
 item_result completed_result(const live_batch& batch, std::size_t index) {
     const auto& partial = batch.state.items[index].done;
-    item_result result;
-    result.id = batch.state.spec.items[index].id;
-    result.completed = true;
-    result.text = partial.text;
-    result.versions = partial.versions;
-    return result;
+    item_result final_result;
+    final_result.id = batch.state.spec.items[index].id;
+    final_result.completed = true;
+    final_result.text = partial.text;
+    final_result.versions = partial.versions;
+    return final_result;
 }
 
 void record_score(live_batch& batch, std::size_t index, int sends, double duration_ms) {
@@ -285,11 +285,11 @@
           {"why", reason},
           {"failures", batch.state.items[index].failures},
           {"age_ms", ms_between(batch.state.submitted, batch.self->now())}});
-    item_result result;
-    result.id = batch.state.spec.items[index].id;
-    result.text = batch.state.items[index].done.text;
-    result.versions = batch.state.items[index].done.versions;
-    record_result(batch, std::move(result));
+    item_result final_result;
+    final_result.id = batch.state.spec.items[index].id;
+    final_result.text = batch.state.items[index].done.text;
+    final_result.versions = batch.state.items[index].done.versions;
+    record_result(batch, std::move(final_result));
 }
 
 loop::task<void> run_item(live_batch_ptr batch, std::size_t index, std::string target_id) {
@@ -318,7 +318,7 @@
     if (batch->state.items[index].phase != item_phase::running) {
         co_return; // finished by another host, or the batch is over
     }
-    switch (result.outcome) {
+    switch (result.kind) {
     case run_outcome::complete:
         batch->state.items[index].phase = item_phase::scoring;
         batch->state.items[index].done.whole = true;
--- a/src/front/load_limit.cpp
+++ b/src/front/load_limit.cpp
@@ -20,18 +20,18 @@
 /// the same size differ a little, and a source may become permanently slower.
 constexpr double shortest_decay = 0.002;
 
-void update_shortest(load_limit& limit, double duration_ms, double concurrent) {
+void update_shortest(load_limit& limit, double duration_ms, double concurrent_loads) {
     const bool first = limit.shortest_ms <= 0;
-    limit.shortest_ms =
-        first || duration_ms < limit.shortest_ms
-            ? duration_ms
-            : limit.shortest_ms + (duration_ms - limit.shortest_ms) * shortest_decay / concurrent;
+    limit.shortest_ms = first || duration_ms < limit.shortest_ms
+                            ? duration_ms
+                            : limit.shortest_ms + (duration_ms - limit.shortest_ms) *
+                                                      shortest_decay / concurrent_loads;
 }
 
 /// Lowers the limit to the number of loads that the source can serve without slowdown. Loads share
-/// its capacity, so that number is `concurrent` divided by their slowdown.
-void lower_limit(load_limit& limit, double concurrent) {
-    const double capacity = std::max(concurrent / limit.current_slowdown, min_allowed);
+/// its capacity, so that number is `concurrent_loads` divided by their slowdown.
+void lower_limit(load_limit& limit, double concurrent_loads) {
+    const double capacity = std::max(concurrent_loads / limit.current_slowdown, min_allowed);
     limit.allowed = std::min(limit.allowed, std::max(capacity, limit.allowed / 2));
     limit.current_slowdown = 1;
     ++limit.lowered;
@@ -54,8 +54,8 @@
 
 void note_load(load_limit& limit, const observed_load& load) {
     const auto duration_ms = static_cast<double>(load.duration.count());
-    const auto concurrent = static_cast<double>(std::max<std::size_t>(load.concurrent, 1));
-    update_shortest(limit, duration_ms, concurrent);
+    const auto concurrent_loads = static_cast<double>(std::max<std::size_t>(load.concurrent, 1));
+    update_shortest(limit, duration_ms, concurrent_loads);
     const double stretch = duration_ms / limit.shortest_ms;
     limit.stretch += (stretch - limit.stretch) * newest_weight;
     if (load.lowered != limit.lowered) {
@@ -66,9 +66,9 @@
     limit.current_slowdown += (stretch - limit.current_slowdown) * weight;
     // Loads that finish together each ran under the limit before the others raised it, so half of
     // the limit in use counts as used up.
-    const bool limit_in_use = 2 * concurrent > limit.allowed;
+    const bool limit_in_use = 2 * concurrent_loads > limit.allowed;
     if (limit.current_slowdown > overload_slowdown) {
-        lower_limit(limit, concurrent);
+        lower_limit(limit, concurrent_loads);
     } else if (limit_in_use && stretch < healthy_slowdown) {
         raise_limit(limit, static_cast<double>(load.represented_loads));
     }
--- a/src/front/placement.cpp
+++ b/src/front/placement.cpp
@@ -76,9 +76,9 @@
 }
 
 run_candidate make_candidate(placement_round& round, target_state& target) {
-    const double network_ms =
+    const double extra_ms =
         distance_ms(round.from, target.entry.zone) / 2 + spread(round.from, target.entry.id);
-    return {&target, expected_pace(round, target), network_ms};
+    return {&target, expected_pace(round, target), extra_ms};
 }
 
 /// The targets that can serve the item, with or without capacity.
@@ -91,13 +91,13 @@
     if (cached != round.candidates.end()) {
         return cached->second;
     }
-    auto& candidates = round.candidates[key];
+    auto& new_candidates = round.candidates[key];
     for (auto& [id, target] : round.table->by_id) {
         if (can_serve(target, requirements, round.now)) {
-            candidates.push_back(make_candidate(round, target));
+            new_candidates.push_back(make_candidate(round, target));
         }
     }
-    return candidates;
+    return new_candidates;
 }
 
 /// Whether the item may use the target, apart from its capacity.
@@ -186,10 +186,10 @@
     if (progress.silent_ms > silence_limit_ms) {
         return run_decision::move_silent;
     }
-    const auto median = service_median_pace(round, current.entry.service);
+    const auto service_pace = service_median_pace(round, current.entry.service);
     const auto current_candidate = make_candidate(round, current);
     const bool queued = !progress.started && progress.silent_ms > queue_timeout_ms;
-    const bool slow = progress.started && is_slow(current, median);
+    const bool slow = progress.started && is_slow(current, service_pace);
     const bool late =
         progress.started && !slow && !progress.moved_late && progress.ms_to_deadline > 0 &&
         completion_ms(current_candidate, requirements.events_left) > progress.ms_to_deadline;
@@ -205,7 +205,7 @@
     }
     const bool faster =
         alternative && alternative->pace_ms < faster_pace_ratio * current_candidate.pace_ms;
-    if (!faster || is_slow(*alternative->target, median)) {
+    if (!faster || is_slow(*alternative->target, service_pace)) {
         return run_decision::stay;
     }
     const double alternative_ms =
--- a/src/front/text_length.cpp
+++ b/src/front/text_length.cpp
@@ -26,9 +26,9 @@
 
 } // namespace
 
-const length_model& find_length_model(const length_models& models, std::string_view model) {
+const length_model& find_length_model(const length_models& models, std::string_view model_name) {
     static const length_model initial;
-    const auto found = models.find(model);
+    const auto found = models.find(model_name);
     return found == models.end() ? initial : found->second;
 }
 
@@ -40,9 +40,9 @@
     }
     model.samples = std::min(model.samples + 1, max_samples);
     const double weight = 1 / (model.samples + initial_samples);
-    const double deviation = std::log(events / hint_tokens) - model.mean_log_ratio;
-    model.mean_log_ratio += weight * deviation;
-    model.variance_log_ratio += weight * (deviation * deviation - model.variance_log_ratio);
+    const double log_error = std::log(events / hint_tokens) - model.mean_log_ratio;
+    model.mean_log_ratio += weight * log_error;
+    model.variance_log_ratio += weight * (log_error * log_error - model.variance_log_ratio);
 }
 
 double events_left(const length_model& model, const text_progress& text, double probability) {
@@ -50,8 +50,8 @@
     const normal standard_normal;
     const double median_events = expected_events(model, text.hint_tokens);
     const double deviation = std::max(std::sqrt(model.variance_log_ratio), min_deviation);
-    double reached_probability =
-        1; // probability that a text becomes as long as this one already is
+    // The probability that a text becomes as long as this one already is.
+    double reached_probability = 1;
     if (text.events_done > 0) {
         const double reached = std::log(text.events_done / median_events) / deviation;
         reached_probability = cdf(complement(standard_normal, std::min(reached, max_deviations)));
--- a/src/front/text_length.hpp
+++ b/src/front/text_length.hpp
@@ -22,7 +22,7 @@
 
 /// The length model for the named model, or the initial one if none of its texts has finished.
 [[nodiscard]] const length_model& find_length_model(const length_models& models,
-                                                    std::string_view model);
+                                                    std::string_view model_name);
 
 /// Updates the model with a finished text of that many events.
 void record_length(length_model& model, int hint_tokens, double events);
--- a/tests/front/load_limit_tests.cpp
+++ b/tests/front/load_limit_tests.cpp
@@ -88,7 +88,7 @@
 }
 
 TEST_CASE("a source that was slow for a while is fully used again", "[front][load_limit]") {
-    // Guards against a limit that stays low for good after the source was slow for a minute.
+    // Guards against a limit that stays low permanently after the source was slow for a minute.
     simulated_source source{10, 96};
     source.run_for(20);
     source.capacity = 2;
--- a/tests/front/placement_tests.cpp
+++ b/tests/front/placement_tests.cpp
@@ -29,12 +29,12 @@
 }
 
 run_requirements typical_requirements() {
-    run_requirements requirements;
-    requirements.service = "engines";
-    requirements.model = "notes";
-    requirements.oldest_version = 5;
-    requirements.events_left = 50;
-    return requirements;
+    run_requirements typical;
+    typical.service = "engines";
+    typical.model = "notes";
+    typical.oldest_version = 5;
+    typical.events_left = 50;
+    return typical;
 }
 
 const distance origin{1, "zone-a", nullptr};
