--- a/src/decide/internal/configuration.cpp
+++ b/src/decide/internal/configuration.cpp
@@ -31,7 +31,7 @@
     load.tokens_per_second =
         config.kind == target_kind::service ? 0 : std::max(config.tokens_per_second, 1.0);
     if (load.was_gone) {
-        // It left and is back: what was said of it then no longer holds.
+        // The target was removed and is back: its earlier state no longer applies.
         load.leaving = false;
         load.loading = false;
         load.health = {};
@@ -56,23 +56,23 @@
     return *entry;
 }
 
-void rebuild_subset(scheduler_state& state, destination& where, std::span<const target> targets,
+void rebuild_subset(scheduler_state& state, destination& dest, std::span<const target> targets,
                     std::span<const host> hosts) {
-    where.subset.clear();
-    where.rate_known = false;
+    dest.subset.clear();
+    dest.rate_known = false;
     for (const auto& member :
-         choose_subset(targets, hosts, state.self, where.name, state.rules.placement)) {
+         choose_subset(targets, hosts, state.self, dest.name, state.rules.placement)) {
         const auto index = state.target_index.at(targets[member.target].id);
         auto& load = state.targets[index];
         load.observers = member.observers;
         load.first_ranked = member.first_ranked;
-        where.subset.push_back(index);
+        dest.subset.push_back(index);
     }
 }
 
 void count_zones(scheduler_state& state) {
-    for (auto& [zone, seen] : state.zones) {
-        seen.targets = 0;
+    for (auto& [zone, observations] : state.zones) {
+        observations.targets = 0;
     }
     for (const auto& load : state.targets) {
         if (!load.gone) {
@@ -101,8 +101,8 @@
             destination_of(state, name, config.kind);
         }
     }
-    for (const auto& [name, where] : state.destinations) {
-        rebuild_subset(state, *where, targets, hosts);
+    for (const auto& [name, dest] : state.destinations) {
+        rebuild_subset(state, *dest, targets, hosts);
     }
     count_zones(state);
 }
@@ -116,13 +116,13 @@
     if (load == nullptr) {
         return;
     }
-    const auto at = now - report.age;
-    // Reports may overtake each other; an older one teaches nothing.
-    if (load->report.known && at < load->report.at) {
+    const auto reported_at = now - report.age;
+    // Reports can arrive out of order; older ones are ignored.
+    if (load->report.known && reported_at < load->report.at) {
         return;
     }
     load->report = {static_cast<double>(report.running + report.queued),
-                    static_cast<double>(load->in_flight), at, true};
+                    static_cast<double>(load->in_flight), reported_at, true};
     load->loading = report.loading;
     load->version = report.version != 0 ? report.version : load->version;
     if (report.capacity != 0) {
@@ -139,12 +139,12 @@
     if (known == state.target_index.end()) {
         return;
     }
-    constexpr std::size_t most_holders = 4;
+    constexpr std::size_t max_holders = 4;
     for (const auto& name : state.targets[known->second].config.serves) {
         auto& all_holders = state.destinations.at(name)->holders;
         auto& holders = all_holders[event.prefix_hash];
         std::erase_if(holders, [&](const auto& each) { return each.target == known->second; });
-        if (event.added && holders.size() < most_holders) {
+        if (event.added && holders.size() < max_holders) {
             holders.push_back({known->second, now});
         }
         if (holders.empty()) {
--- a/src/decide/internal/faults.cpp
+++ b/src/decide/internal/faults.cpp
@@ -9,24 +9,24 @@
 
 namespace {
 
-bool outside(const destination& where, std::uint32_t target) {
-    return std::ranges::find(where.subset, target) == where.subset.end();
+bool is_outside(const destination& dest, std::uint32_t target) {
+    return std::ranges::find(dest.subset, target) == dest.subset.end();
 }
 
-// Whether every destination of the target keeps enough others: ejecting most of a pool turns
-// a partial fault into a whole one.
+// Whether every destination of the target keeps enough others. Ejecting most of a pool would turn
+// a partial outage into a full one.
 bool may_eject(const scheduler_state& state, std::uint32_t target, kernel::time_point now) {
     return std::ranges::all_of(state.destinations, [&](const auto& entry) {
-        const auto& where = *entry.second;
-        if (outside(where, target)) {
+        const auto& dest = *entry.second;
+        if (is_outside(dest, target)) {
             return true;
         }
         const auto ejected = std::ranges::count_if(
-            where.subset, [&](auto index) { return is_ejected(state.targets[index].health, now); });
-        const auto all = static_cast<double>(where.subset.size());
-        const double most =
-            all < 2 ? 0 : std::max(1.0, std::floor(state.rules.health.max_ejected_share * all));
-        return static_cast<double>(ejected) + 1 <= most;
+            dest.subset, [&](auto index) { return is_ejected(state.targets[index].health, now); });
+        const auto total = static_cast<double>(dest.subset.size());
+        const double max_ejected =
+            total < 2 ? 0 : std::max(1.0, std::floor(state.rules.health.max_ejected_share * total));
+        return static_cast<double>(ejected) + 1 <= max_ejected;
     });
 }
 
@@ -34,9 +34,9 @@
                                        kernel::time_point now) {
     std::vector<crash_suspect> found;
     for (const auto& [id, record] : state.requests) {
-        for (auto& each : record->sendings) {
+        for (auto& each : record->active_attempts) {
             if (each.target == target) {
-                prove(state, *record, each, now);
+                clear_proven_suspect(state, *record, each, now);
                 found.push_back({digest_of(record->work), now - each.sent, each.suspect});
             }
         }
@@ -44,35 +44,38 @@
     return found;
 }
 
-// Every sending on a crashed target reports the crash; only the first report is judged.
-bool is_judged(const target_load& load, const sending& failed) {
+// Every attempt on a crashed target reports the crash; only the first report is evaluated.
+bool is_known_crash(const target_load& load, const attempt_state& failed) {
     return load.has_crashed && failed.sent <= load.crashed;
 }
 
-void judge(scheduler_state& state, const sending& failed, kernel::time_point now, actions& out) {
+void handle_crash(scheduler_state& state, const attempt_state& failed, kernel::time_point now,
+                  actions& out) {
     auto& load = state.targets[failed.target];
-    if (is_judged(load, failed)) {
+    if (is_known_crash(load, failed)) {
         return;
     }
     load.crashed = now;
     load.has_crashed = true;
     const auto in_flight = suspects_on(state, failed.target, now);
-    const auto name = kernel::hash64(load.config.id.str());
-    const auto culprit = judge_crash(state.crashes, state.rules.quarantine, name, in_flight, now);
+    const auto target_hash = kernel::hash64(load.config.id.str());
+    const auto culprit =
+        judge_crash(state.crashes, state.rules.quarantine, target_hash, in_flight, now);
     if (culprit != 0) {
         await_confirmation(state, culprit, now);
-        out.quarantines.push_back({culprit, quarantined_for(state.crashes, culprit, now), name});
+        out.quarantines.push_back(
+            {culprit, quarantined_for(state.crashes, culprit, now), target_hash});
     }
 }
 
-bool weighs_on_health(failure_kind kind) {
+bool affects_health(failure_kind kind) {
     return kind != failure_kind::rejected && kind != failure_kind::overloaded;
 }
 
 } // namespace
 
-void prove(scheduler_state& state, const request_record& record, sending& running,
-           kernel::time_point now) {
+void clear_proven_suspect(scheduler_state& state, const request_record& record,
+                          attempt_state& running, kernel::time_point now) {
     if (!running.suspect) {
         return;
     }
@@ -82,13 +85,13 @@
     }
 }
 
-void note_failure(scheduler_state& state, const sending& failed, failure_kind kind,
-                  kernel::time_point now, actions& out) {
+void record_failure(scheduler_state& state, const attempt_state& failed, failure_kind kind,
+                    kernel::time_point now, actions& out) {
     auto& load = state.targets[failed.target];
     if (kind != failure_kind::rejected && kind != failure_kind::not_sent) {
         on_overload(load.limit, state.rules.limit, now);
     }
-    if (!weighs_on_health(kind)) {
+    if (!affects_health(kind)) {
         return;
     }
     const bool crashed = kind == failure_kind::crashed;
@@ -99,34 +102,35 @@
     if (!crashed && !repeated) {
         return;
     }
-    const bool same_crash = crashed && is_judged(load, failed);
+    const bool same_crash = crashed && is_known_crash(load, failed);
     auto& zone = state.zones[load.config.zone];
-    const bool doubt = observe_failure(zone, state.rules.health, failed.target, now);
-    if (doubt) {
+    const bool self_suspected = observe_failure(zone, state.rules.health, failed.target, now);
+    if (self_suspected) {
         forgive(state.crashes, now - state.rules.health.observer_window);
     }
-    // A far zone is only overflow: when it is out of reach it is left alone, whoever is to blame.
-    const bool near = load.how_far == distance::zone;
-    if (doubt && near) {
+    // Targets outside this zone only take overflow: they are ejected when unreachable, even if the
+    // fault may be on this host's side.
+    const bool in_zone = load.how_far == distance::zone;
+    if (self_suspected && in_zone) {
         return;
     }
-    if (crashed && !doubt) {
-        judge(state, failed, now, out);
+    if (crashed && !self_suspected) {
+        handle_crash(state, failed, now, out);
     }
-    const bool allowed = !near || may_eject(state, failed.target, now);
-    if (!same_crash && !is_ejected(load.health, now) && allowed) {
+    const bool ejection_allowed = !in_zone || may_eject(state, failed.target, now);
+    if (!same_crash && !is_ejected(load.health, now) && ejection_allowed) {
         eject(load.health, state.rules.health, now);
     }
 }
 
 void await_confirmation(scheduler_state& state, std::uint64_t digest, kernel::time_point now) {
-    state.named.push_back({digest, now + state.rules.quarantine.confirmation});
+    state.pending_quarantines.push_back({digest, now + state.rules.quarantine.confirmation});
 }
 
 void refuse_confirmed(scheduler_state& state, kernel::time_point now, actions& out) {
     std::vector<request_record*> found;
-    for (const auto& named : state.named) {
-        if (named.confirmed > now ||
+    for (const auto& named : state.pending_quarantines) {
+        if (named.confirmation_due > now ||
             !is_confirmed(state.crashes, state.rules.quarantine, named.digest, now)) {
             continue;
         }
@@ -136,15 +140,16 @@
             }
         }
     }
-    std::erase_if(state.named, [&](const auto& named) { return named.confirmed <= now; });
-    // The map has no order of its own that a test could count on.
+    std::erase_if(state.pending_quarantines,
+                  [&](const auto& named) { return named.confirmation_due <= now; });
+    // The iteration order of the map is unspecified; sort to keep the outcome deterministic.
     std::ranges::sort(found, {}, &request_record::sequence);
     const auto repeated = std::ranges::unique(found);
     found.erase(repeated.begin(), repeated.end());
     for (auto* record : found) {
-        const auto left = quarantined_for(state.crashes, digest_of(record->work), now);
-        refuse(state, *record, kernel::refusal_reason::quarantined, left, "crashed several targets",
-               out);
+        const auto remaining = quarantined_for(state.crashes, digest_of(record->work), now);
+        refuse(state, *record, kernel::refusal_reason::quarantined, remaining,
+               "crashed several targets", out);
     }
 }
 
--- a/src/decide/internal/lookahead.cpp
+++ b/src/decide/internal/lookahead.cpp
@@ -7,80 +7,86 @@
 
 namespace {
 
-constexpr std::size_t greatest_lookahead = 64;
+constexpr std::size_t max_lookahead = 64;
 
-enum class prefix_place : std::uint8_t { here, nowhere, elsewhere };
+enum class prefix_location : std::uint8_t { here, nowhere, elsewhere };
 
-bool believed(const scheduler_state& state, const prefix_holder& holder, kernel::time_point now) {
+bool is_valid_hint(const scheduler_state& state, const prefix_holder& holder,
+                   kernel::time_point now) {
     return now < holder.at + state.rules.placement.hint_lifetime &&
            takes_work(state.targets[holder.target], now);
 }
 
-prefix_place place_of(const scheduler_state& state, const destination& where, std::uint64_t prefix,
-                      std::uint32_t target, kernel::time_point now) {
-    const auto it = where.holders.find(prefix);
-    if (prefix == 0 || it == where.holders.end()) {
-        return prefix_place::nowhere;
+prefix_location locate_prefix(const scheduler_state& state, const destination& dest,
+                              std::uint64_t prefix, std::uint32_t target, kernel::time_point now) {
+    const auto it = dest.holders.find(prefix);
+    if (prefix == 0 || it == dest.holders.end()) {
+        return prefix_location::nowhere;
     }
     bool elsewhere = false;
     for (const auto& holder : it->second) {
-        if (!believed(state, holder, now)) {
+        if (!is_valid_hint(state, holder, now)) {
             continue;
         }
         if (holder.target == target) {
-            return prefix_place::here;
+            return prefix_location::here;
         }
         elsewhere = true;
     }
-    return elsewhere ? prefix_place::elsewhere : prefix_place::nowhere;
+    return elsewhere ? prefix_location::elsewhere : prefix_location::nowhere;
 }
 
-bool fits(scheduler_state& state, request_record& record, std::uint32_t target,
-          kernel::time_point now) {
+bool can_place(scheduler_state& state, request_record& record, std::uint32_t target,
+               kernel::time_point now) {
     const auto query = query_of(state, record, now);
-    const auto tried =
+    const auto result =
         choose(state.targets, std::span{&target, 1}, query, state.rules, now, state.random);
-    return tried.outcome == placement_outcome::placed;
+    return result.outcome == placement_outcome::placed;
 }
 
 } // namespace
 
-// Load: a pool so busy that a target has one free slot at a time. Placement alone can then keep no
-// group together: whichever target is free gets whatever is first. So the free target picks, among
-// the next few items of the caller whose turn it is, one whose prefix it holds; else one whose
-// prefix nobody holds; and only then starts a second copy of a prefix that another target holds.
-// Fairness between callers is untouched, and no item is passed over for ever.
-queue_head prefer_cached(scheduler_state& state, const destination& where, const queue_head& item,
+// In a busy pool a target has one free slot at a time. Placement alone then can't keep a group on
+// one target, since whichever target is free gets the first item. So among the next few items of
+// the caller whose turn it is, the free target gets one whose prefix it holds; otherwise one whose
+// prefix no target holds; and only then one whose prefix is already cached on another target.
+// Fairness between callers is unaffected, and `most_passed_over` prevents starvation of an item.
+queue_head prefer_cached(scheduler_state& state, const destination& dest, const queue_head& item,
                          const placement& found, kernel::time_point now) {
     const auto& rules = state.rules.placement;
     auto& first = *state.by_sequence.at(item.key.sequence);
-    const auto at_first = place_of(state, where, first.work.prefix_hash, found.target, now);
-    if (first.work.prefix_hash == 0 || at_first == prefix_place::here ||
+    const auto first_location =
+        locate_prefix(state, dest, first.work.prefix_hash, found.target, now);
+    if (first.work.prefix_hash == 0 || first_location == prefix_location::here ||
         first.passed_over >= rules.most_passed_over) {
         return item;
     }
-    std::array<queue_head, greatest_lookahead> room;
-    const auto& queue = where.queues.at(index_of(first.work.priority));
+    std::array<queue_head, max_lookahead> upcoming_items;
+    const auto& queue = dest.queues.at(index_of(first.work.priority));
     const auto count =
-        upcoming(queue, item.caller, std::span{room}.first(std::min(rules.lookahead, room.size())));
-    const queue_head* unheld = nullptr;
-    for (const auto& next : std::span{room}.first(count)) {
+        upcoming(queue, item.caller,
+                 std::span{upcoming_items}.first(std::min(rules.lookahead, upcoming_items.size())));
+    const queue_head* uncached = nullptr;
+    for (const auto& next : std::span{upcoming_items}.first(count)) {
         auto& record = *state.by_sequence.at(next.key.sequence);
-        const auto place = place_of(state, where, record.work.prefix_hash, found.target, now);
-        if (place == prefix_place::here && fits(state, record, found.target, now)) {
+        const auto location =
+            locate_prefix(state, dest, record.work.prefix_hash, found.target, now);
+        if (location == prefix_location::here && can_place(state, record, found.target, now)) {
             ++first.passed_over;
             return next;
         }
-        const bool better = at_first == prefix_place::elsewhere && unheld == nullptr;
-        if (better && place == prefix_place::nowhere && fits(state, record, found.target, now)) {
-            unheld = &next;
+        const bool wants_uncached =
+            first_location == prefix_location::elsewhere && uncached == nullptr;
+        if (wants_uncached && location == prefix_location::nowhere &&
+            can_place(state, record, found.target, now)) {
+            uncached = &next;
         }
     }
-    if (unheld == nullptr) {
+    if (uncached == nullptr) {
         return item;
     }
     ++first.passed_over;
-    return *unheld;
+    return *uncached;
 }
 
 } // namespace cornelloom::decide
--- a/src/decide/internal/outcomes.cpp
+++ b/src/decide/internal/outcomes.cpp
@@ -9,20 +9,20 @@
 constexpr double answer_gain = 0.2;
 constexpr double progress_gain = 0.05;
 constexpr kernel::duration progress_interval = 1s;
-constexpr std::uint32_t telling_tokens = 16;
+constexpr std::uint32_t min_speed_tokens = 16;
 
-// How fast the usual time of a plain service moves, and the most that one answer counts: a single
-// slow target must not teach that slow is usual.
+// Smoothing factor of the typical answer time, and the largest ratio to it that one answer counts
+// with: a single slow target must not raise the typical time.
 constexpr double service_gain = 0.02;
-constexpr double greatest_service_ratio = 3;
+constexpr double max_service_ratio = 3;
 
-constexpr kernel::duration failed_retry = 1s;
+constexpr kernel::duration failed_retry_after = 1s;
 
 double seconds(kernel::duration length) {
     return std::chrono::duration<double>(length).count();
 }
 
-std::uint64_t older(std::uint64_t a, std::uint64_t b) {
+std::uint64_t older_version(std::uint64_t a, std::uint64_t b) {
     if (a == 0 || b == 0) {
         return std::max(a, b);
     }
@@ -30,31 +30,31 @@
 }
 
 void learn_service_time(request_record& record, double elapsed) {
-    auto& usual = record.where->service_seconds.at(index_of(record.work.priority));
-    const double most = usual * greatest_service_ratio;
-    usual += service_gain * (std::min(elapsed, most) - usual);
+    auto& typical = record.where->service_seconds.at(index_of(record.work.priority));
+    const double max_counted = typical * max_service_ratio;
+    typical += service_gain * (std::min(elapsed, max_counted) - typical);
 }
 
-// Time over that of a healthy full batch, against the destination's usual; wrong configured speeds
-// are wrong for all targets and cancel out.
-double against_peers(const target_load& load, request_record& record, const answer_size& size,
-                     double elapsed) {
-    auto& where = *record.where;
-    const double full = nominal_seconds(load, size, load.config.capacity, usual_seconds(record));
+// Ratio of the answer time to the nominal time in a full batch, relative to the destination's
+// typical ratio. Errors in the configured speeds affect all targets alike and cancel out.
+double relative_slowness(const target_load& load, request_record& record, const answer_size& size,
+                         double elapsed) {
+    auto& dest = *record.where;
+    const double full = nominal_seconds(load, size, load.config.capacity, typical_seconds(record));
     const double ratio = elapsed / std::max(full, 1e-6);
-    const double most = where.usual_ratio * greatest_service_ratio;
-    where.usual_ratio += service_gain * (std::min(ratio, most) - where.usual_ratio);
-    return ratio / std::max(where.usual_ratio, 0.1);
+    const double max_counted = dest.typical_ratio * max_service_ratio;
+    dest.typical_ratio += service_gain * (std::min(ratio, max_counted) - dest.typical_ratio);
+    return ratio / std::max(dest.typical_ratio, 0.1);
 }
 
-void learn(scheduler_state& state, request_record& record, const sending& ended,
-           std::uint32_t tokens, kernel::time_point now) {
+void observe_answer(scheduler_state& state, request_record& record, const attempt_state& ended,
+                    std::uint32_t tokens, kernel::time_point now) {
     auto& load = state.targets[ended.target];
     const double elapsed = seconds(now - ended.sent);
     const answer_size done{ended.size.read, static_cast<double>(tokens)};
     const double ratio = elapsed / nominal_so_far(state, record, ended, done, now);
     observe_ratio(load, ratio, answer_gain, now);
-    on_answer(load.limit, state.rules.limit, against_peers(load, record, done, elapsed),
+    on_answer(load.limit, state.rules.limit, relative_slowness(load, record, done, elapsed),
               estimated_running(load, state.rules.placement, now), now);
     on_good_answer(load.health, state.rules.health, now);
     if (record.work.kind == target_kind::service) {
@@ -63,30 +63,31 @@
 }
 
 std::uint64_t oldest_allowed_for(const scheduler_state& state, const request_record& record) {
-    const auto& where = *record.where;
-    if (where.kind == target_kind::service) {
+    const auto& dest = *record.where;
+    if (dest.kind == target_kind::service) {
         return 0;
     }
-    return oldest_allowed(where.versions, pool_policy_of(state.rules, where.name),
+    return oldest_allowed(dest.versions, pool_policy_of(state.rules, dest.name),
                           record.work.minimum_version);
 }
 
-bool attempts_left(const scheduler_state& state, const request_record& record) {
+bool has_attempts_left(const scheduler_state& state, const request_record& record) {
     const auto counted = record.work.attempts_made + record.attempts - record.interruptions;
     return counted < state.rules.retry.max_attempts;
 }
 
-void run_again_if_fresh_is_needed(scheduler_state& state, request_record& record,
-                                  kernel::time_point now, actions& out) {
+void retry_stale(scheduler_state& state, request_record& record, kernel::time_point now,
+                 actions& out) {
     record.kept_tokens = 0;
     record.kept_version = 0;
     record.cause = retry_reason::stale;
     record.answered_error = true;
-    if (!record.sendings.empty()) {
+    if (!record.active_attempts.empty()) {
         return;
     }
-    if (!record.work.idempotent || !attempts_left(state, record)) {
-        refuse(state, record, kernel::refusal_reason::staleness_unreachable, failed_retry, "", out);
+    if (!record.work.idempotent || !has_attempts_left(state, record)) {
+        refuse(state, record, kernel::refusal_reason::staleness_unreachable, failed_retry_after, "",
+               out);
         return;
     }
     delay(state, record, now);
@@ -111,19 +112,19 @@
     return retry_reason::broken;
 }
 
-// The longest whole run of tokens so far is what a retry goes on from.
-void keep_tokens(request_record& record, const sending& failed, const failure& what,
+// Keeps the longest sequence of tokens received so far, from which a retry continues.
+void keep_tokens(request_record& record, const attempt_state& failed, const failure& what,
                  const kernel::target_id& target) {
-    const auto whole = failed.resumed + what.tokens;
-    if (what.tokens == 0 || whole <= record.kept_tokens) {
+    const auto total_tokens = failed.resumed_tokens + what.tokens;
+    if (what.tokens == 0 || total_tokens <= record.kept_tokens) {
         return;
     }
-    record.kept_tokens = whole;
-    record.kept_version = older(failed.oldest_version, what.oldest_version);
+    record.kept_tokens = total_tokens;
+    record.kept_version = older_version(failed.oldest_version, what.oldest_version);
     record.kv_source = what.kv_exported ? target : kernel::target_id{};
 }
 
-void note_what_was_sent(request_record& record, failure_kind kind) {
+void record_delivery(request_record& record, failure_kind kind) {
     if (kind == failure_kind::not_sent) {
         return;
     }
@@ -137,14 +138,14 @@
     }
 }
 
-void retry_later(scheduler_state& state, request_record& record, const failure& what,
-                 kernel::time_point now, actions& out) {
+void schedule_retry(scheduler_state& state, request_record& record, const failure& what,
+                    kernel::time_point now, actions& out) {
     const auto retries = record.attempts > 0 ? record.attempts - 1 : 0;
-    const auto pause =
+    const auto retry_delay =
         std::max(backoff(state.rules.retry, retries, state.random), what.retry_after);
-    if (now + pause >= record.work.deadline) {
-        refuse(state, record, kernel::refusal_reason::target_failed, failed_retry, what.detail,
-               out);
+    if (now + retry_delay >= record.work.deadline) {
+        refuse(state, record, kernel::refusal_reason::target_failed, failed_retry_after,
+               what.detail, out);
         return;
     }
     if (!spend(state.retries, state.rules.retry, now)) {
@@ -153,35 +154,35 @@
         return;
     }
     record.cause = reason_of(what.kind);
-    delay(state, record, now + pause);
+    delay(state, record, now + retry_delay);
 }
 
-void after_failure(scheduler_state& state, request_record& record, const failure& what,
-                   kernel::time_point now, actions& out) {
-    if (!record.sendings.empty()) {
-        return; // Another copy is still running.
+void handle_failure(scheduler_state& state, request_record& record, const failure& what,
+                    kernel::time_point now, actions& out) {
+    if (!record.active_attempts.empty()) {
+        return; // Another attempt is still running.
     }
     if (what.kind == failure_kind::rejected) {
         refuse(state, record, kernel::refusal_reason::target_failed, {}, what.detail, out);
         return;
     }
     if (!record.work.idempotent && record.maybe_sent) {
-        // A second sending could run it twice; what became of the first one is not known.
+        // The outcome of the first attempt is unknown; another one could run the request twice.
         refuse(state, record, kernel::refusal_reason::outcome_unknown, {}, what.detail, out);
         return;
     }
     if (what.kind == failure_kind::interrupted) {
-        // Planned work of the operator's own: neither the budget nor the backoff is meant for it.
+        // Planned maintenance by the operator: retry budget and backoff don't apply.
         record.cause = retry_reason::interrupted;
         delay(state, record, now);
         return;
     }
-    if (!attempts_left(state, record)) {
-        refuse(state, record, kernel::refusal_reason::target_failed, failed_retry, what.detail,
-               out);
+    if (!has_attempts_left(state, record)) {
+        refuse(state, record, kernel::refusal_reason::target_failed, failed_retry_after,
+               what.detail, out);
         return;
     }
-    retry_later(state, record, what, now, out);
+    schedule_retry(state, record, what, now, out);
 }
 
 } // namespace
@@ -190,8 +191,8 @@
                    kernel::time_point now) {
     auto* record = find(*all.state, request);
     auto* running = record == nullptr ? nullptr : find(*record, attempt);
-    if (running != nullptr && !running->answering) {
-        running->answering = true;
+    if (running != nullptr && !running->has_first_byte) {
+        running->has_first_byte = true;
         running->first_byte = now;
     }
 }
@@ -206,12 +207,12 @@
         return;
     }
     running->tokens = std::max(running->tokens, tokens);
-    running->oldest_version = older(running->oldest_version, oldest_version);
-    prove(state, *record, *running, now);
+    running->oldest_version = older_version(running->oldest_version, oldest_version);
+    clear_proven_suspect(state, *record, *running, now);
     const double elapsed = seconds(now - running->first_byte);
-    const bool due = now >= running->observed + progress_interval && elapsed > 0;
-    if (due && running->tokens >= telling_tokens && record->work.kind == target_kind::engine) {
-        running->observed = now;
+    const bool due = now >= running->last_observed + progress_interval && elapsed > 0;
+    if (due && running->tokens >= min_speed_tokens && record->work.kind == target_kind::engine) {
+        running->last_observed = now;
         const answer_size done{0, static_cast<double>(running->tokens)};
         const double ratio = elapsed / nominal_so_far(state, *record, *running, done, now);
         observe_ratio(state.targets[running->target], ratio, progress_gain, now);
@@ -230,19 +231,19 @@
         return result;
     }
     const auto ended = *running;
-    learn(state, *record, ended, answer.tokens, now);
+    observe_answer(state, *record, ended, answer.tokens, now);
     if (!state.crashes.digests.empty()) {
         clear_suspicion(state.crashes, digest_of(record->work));
     }
-    end_sending(state, *record, attempt);
-    const auto oldest = older(ended.oldest_version, answer.oldest_version);
+    end_attempt(state, *record, attempt);
+    const auto oldest = older_version(ended.oldest_version, answer.oldest_version);
     if (oldest != 0 && oldest < oldest_allowed_for(state, *record)) {
         result.decision = verdict::discard_stale;
-        run_again_if_fresh_is_needed(state, *record, now, result.follow_up);
+        retry_stale(state, *record, now, result.follow_up);
         return result;
     }
-    note_group_progress(state, *record, now);
-    forget(state, *record, result.follow_up);
+    record_group_progress(state, *record, now);
+    remove_request(state, *record, result.follow_up);
     return result;
 }
 
@@ -256,16 +257,16 @@
         return out;
     }
     const auto failed = *running;
-    note_what_was_sent(*record, what.kind);
+    record_delivery(*record, what.kind);
     keep_tokens(*record, failed, what, state.targets[failed.target].config.id);
     if (what.kind == failure_kind::interrupted) {
         ++record->interruptions;
     } else {
-        note_failure(state, failed, what.kind, now, out);
+        record_failure(state, failed, what.kind, now, out);
         avoid(*record, failed.target);
     }
-    end_sending(state, *record, attempt);
-    after_failure(state, *record, what, now, out);
+    end_attempt(state, *record, attempt);
+    handle_failure(state, *record, what, now, out);
     return out;
 }
 
@@ -273,7 +274,7 @@
                      kernel::time_point /*now*/) {
     actions out;
     if (auto* record = find(*all.state, request)) {
-        forget(*all.state, *record, out);
+        remove_request(*all.state, *record, out);
     }
     return out;
 }
--- a/src/decide/internal/records.cpp
+++ b/src/decide/internal/records.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-// Reading a token in costs about this part of generating one.
-constexpr double read_cost = 0.1;
+// Cost of processing a prompt token, relative to generating one.
+constexpr double prompt_token_cost = 0.1;
 
-// An answer that outgrows its estimate is expected to need this many more.
-constexpr double least_generated = 16;
+// Tokens still expected from an answer that exceeds its estimated length.
+constexpr double min_remaining_tokens = 16;
 
 void leave_group(request_record& record) {
     auto& groups = record.where->groups;
@@ -26,7 +26,7 @@
     }
 }
 
-void leave_waiting(scheduler_state& state, request_record& record) {
+void remove_from_queues(scheduler_state& state, request_record& record) {
     if (record.phase == request_phase::queued) {
         auto& queue = record.where->queues.at(index_of(record.work.priority));
         remove(queue, record.work.caller, key_of(record));
@@ -43,16 +43,16 @@
         return 1;
     }
     const auto size = size_of(work, kept_tokens);
-    return std::max(1.0, size.generate + read_cost * size.read);
+    return std::max(1.0, size.generate + prompt_token_cost * size.read);
 }
 
 answer_size size_of(const request& work, std::uint32_t kept_tokens) {
     if (work.kind == target_kind::service) {
         return {};
     }
-    const double left = static_cast<double>(work.output_tokens) - kept_tokens;
+    const double remaining = static_cast<double>(work.output_tokens) - kept_tokens;
     return {.read = static_cast<double>(work.prompt_tokens) + kept_tokens,
-            .generate = std::max(left, least_generated)};
+            .generate = std::max(remaining, min_remaining_tokens)};
 }
 
 request_record* find(scheduler_state& state, const kernel::request_id& id) {
@@ -60,9 +60,9 @@
     return it == state.requests.end() ? nullptr : it->second.get();
 }
 
-sending* find(request_record& record, std::uint32_t attempt) {
-    const auto it = std::ranges::find(record.sendings, attempt, &sending::number);
-    return it == record.sendings.end() ? nullptr : &*it;
+attempt_state* find(request_record& record, std::uint32_t attempt) {
+    const auto it = std::ranges::find(record.active_attempts, attempt, &attempt_state::number);
+    return it == record.active_attempts.end() ? nullptr : &*it;
 }
 
 queue_key key_of(const request_record& record) {
@@ -73,9 +73,9 @@
     if (record.answered_error) {
         return kernel::run_state::ran;
     }
-    // A sending under way may have left this host already, whatever becomes of it.
+    // An attempt in flight may have reached its target already, whatever its outcome.
     const bool sent =
-        record.maybe_sent || !record.sendings.empty() || record.work.attempts_made > 0;
+        record.maybe_sent || !record.active_attempts.empty() || record.work.attempts_made > 0;
     return sent ? kernel::run_state::unknown : kernel::run_state::not_run;
 }
 
@@ -83,16 +83,17 @@
     return work.digest != 0 ? work.digest : kernel::hash64(work.id.str());
 }
 
-double usual_seconds(const request_record& record) {
+double typical_seconds(const request_record& record) {
     return record.where->service_seconds.at(index_of(record.work.priority));
 }
 
 double nominal_so_far(const scheduler_state& state, const request_record& record,
-                      const sending& running, const answer_size& size, kernel::time_point now) {
+                      const attempt_state& running, const answer_size& size,
+                      kernel::time_point now) {
     const auto& load = state.targets[running.target];
-    const double at_end = estimated_running(load, state.rules.placement, now);
-    const double mean = (running.running + std::max(at_end, 1.0)) / 2;
-    return std::max(nominal_seconds(load, size, mean, usual_seconds(record)), 1e-6);
+    const double current_load = estimated_running(load, state.rules.placement, now);
+    const double mean_load = (running.load_at_dispatch + std::max(current_load, 1.0)) / 2;
+    return std::max(nominal_seconds(load, size, mean_load, typical_seconds(record)), 1e-6);
 }
 
 void enqueue(scheduler_state& state, request_record& record) {
@@ -102,22 +103,22 @@
          key_of(record), cost_of(record.work, record.kept_tokens));
 }
 
-void delay(scheduler_state& state, request_record& record, kernel::time_point until) {
+void delay(scheduler_state& state, request_record& record, kernel::time_point ready_at) {
     record.phase = request_phase::delayed;
-    record.not_before = until;
-    state.delayed.insert({until, record.sequence, &record});
+    record.not_before = ready_at;
+    state.delayed.insert({ready_at, record.sequence, &record});
 }
 
-void check_hedge_at(scheduler_state& state, request_record& record, kernel::time_point at) {
+void schedule_hedge_check(scheduler_state& state, request_record& record, kernel::time_point due) {
     if (record.has_hedge_check) {
         state.hedge_checks.erase({record.hedge_check, record.sequence, &record});
     }
-    record.hedge_check = at;
+    record.hedge_check = due;
     record.has_hedge_check = true;
-    state.hedge_checks.insert({at, record.sequence, &record});
+    state.hedge_checks.insert({due, record.sequence, &record});
 }
 
-void end_sending(scheduler_state& state, request_record& record, std::uint32_t attempt) {
+void end_attempt(scheduler_state& state, request_record& record, std::uint32_t attempt) {
     const auto* ended = find(record, attempt);
     if (ended == nullptr) {
         return;
@@ -131,17 +132,17 @@
     if (ended->suspect) {
         --load.suspects;
     }
-    std::erase_if(record.sendings, [&](const auto& each) { return each.number == attempt; });
+    std::erase_if(record.active_attempts, [&](const auto& each) { return each.number == attempt; });
 }
 
-void forget(scheduler_state& state, request_record& record, actions& out) {
-    while (!record.sendings.empty()) {
-        const auto& each = record.sendings.back();
+void remove_request(scheduler_state& state, request_record& record, actions& out) {
+    while (!record.active_attempts.empty()) {
+        const auto& each = record.active_attempts.back();
         out.cancellations.push_back(
             {record.work.id, state.targets[each.target].config.id, each.number, each.tokens});
-        end_sending(state, record, each.number);
+        end_attempt(state, record, each.number);
     }
-    leave_waiting(state, record);
+    remove_from_queues(state, record);
     leave_group(record);
     if (record.has_hedge_check) {
         state.hedge_checks.erase({record.hedge_check, record.sequence, &record});
@@ -155,7 +156,7 @@
             kernel::duration retry_after, std::string detail, actions& out) {
     out.refusals.push_back(
         {record.work.id, {reason, run_state_of(record), retry_after, std::move(detail)}});
-    forget(state, record, out);
+    remove_request(state, record, out);
 }
 
 } // namespace cornelloom::decide
--- a/src/decide/internal/stragglers.cpp
+++ b/src/decide/internal/stragglers.cpp
@@ -6,14 +6,15 @@
 
 namespace {
 
-// Until the next look at a sending that is no straggler yet, as a share of its prediction.
+// Time until an attempt that is not yet a straggler is checked again, as a share of its predicted
+// duration.
 constexpr double recheck_share = 0.25;
-constexpr kernel::duration least_recheck = 50ms;
+constexpr kernel::duration min_recheck_delay = 50ms;
 
-// Below so many tokens a stream's own speed says little.
-constexpr std::uint32_t telling_tokens = 16;
+// With fewer tokens, the measured speed of a stream is too noisy to use.
+constexpr std::uint32_t min_speed_tokens = 16;
 
-// Weight of a late sending as an observation of its target: nothing came yet, but it is slow.
+// Smoothing factor for an overdue attempt without an answer, observed as slowness of its target.
 constexpr double late_gain = 0.1;
 
 double seconds(kernel::duration length) {
@@ -35,39 +36,40 @@
     return size > 0 ? group.done / size : 0;
 }
 
-// By the stream's own speed; without tokens, as long again as it has taken already.
-double remaining_here(const sending& running, kernel::time_point now) {
+// Estimated from the stream's measured speed. With too few tokens: the rest of the prediction, but
+// at least as long as the attempt has taken so far.
+double remaining_here(const attempt_state& running, kernel::time_point now) {
     const double elapsed = seconds(now - running.sent);
-    if (running.tokens < telling_tokens) {
+    if (running.tokens < min_speed_tokens) {
         return std::max(running.predicted - elapsed, elapsed);
     }
     const double speed = running.tokens / std::max(elapsed, 1e-3);
     return std::max(running.size.generate - running.tokens, 1.0) / speed;
 }
 
-// A copy goes on from the tokens that the first one has sent so far.
-void keep_running_tokens(request_record& record, const sending& running) {
-    record.kept_tokens = running.resumed + running.tokens;
+// The hedged attempt continues from the tokens that the first attempt has produced so far.
+void keep_running_tokens(request_record& record, const attempt_state& running) {
+    record.kept_tokens = running.resumed_tokens + running.tokens;
     record.kept_version = running.oldest_version;
 }
 
-placement place_copy(scheduler_state& state, const request_record& record, const sending& running,
-                     kernel::time_point now) {
+placement place_copy(scheduler_state& state, const request_record& record,
+                     const attempt_state& running, kernel::time_point now) {
     auto query = query_of(state, record, now);
     std::vector<std::uint32_t> avoid = record.avoid;
     avoid.push_back(running.target);
     query.avoid = avoid;
-    query.size = size_of(record.work, running.resumed + running.tokens);
+    query.size = size_of(record.work, running.resumed_tokens + running.tokens);
     return choose(state.targets, record.where->subset, query, state.rules, now, state.random);
 }
 
-straggler_view view_of(const request_record& record, const sending& running, const placement& where,
-                       kernel::time_point now) {
+straggler_view make_straggler_view(const request_record& record, const attempt_state& running,
+                                   const placement& alternative, kernel::time_point now) {
     straggler_view view;
     view.elapsed = seconds(now - running.sent);
     view.expected = running.predicted;
     view.remaining_here = remaining_here(running, now);
-    view.remaining_there = where.seconds;
+    view.remaining_there = alternative.seconds;
     view.group_done = group_done(record);
     return view;
 }
@@ -75,30 +77,32 @@
 bool is_candidate(const scheduler_state& state, const request_record& record) {
     const auto& rules = state.rules;
     const auto attempts = record.work.attempts_made + record.attempts;
-    return rules.hedge.enabled && record.work.idempotent && record.sendings.size() == 1 &&
+    return rules.hedge.enabled && record.work.idempotent && record.active_attempts.size() == 1 &&
            attempts < rules.retry.max_attempts;
 }
 
-// Plain services have no progress to judge by: late is a multiple of the usual time.
+// Plain services report no progress: an attempt is late after a multiple of the typical time.
 bool service_is_late(const scheduler_state& state, const request_record& record,
-                     const sending& running, kernel::time_point now) {
-    const double usual = usual_seconds(record) * state.rules.hedge.service_factor;
-    return seconds(now - running.sent) >= usual;
+                     const attempt_state& running, kernel::time_point now) {
+    const double late_after = typical_seconds(record) * state.rules.hedge.service_factor;
+    return seconds(now - running.sent) >= late_after;
 }
 
-bool worth_it(const scheduler_state& state, const request_record& record, const sending& running,
-              const placement& where, kernel::time_point now) {
+bool should_hedge(const scheduler_state& state, const request_record& record,
+                  const attempt_state& running, const placement& alternative,
+                  kernel::time_point now) {
     if (record.work.kind == target_kind::service) {
         return service_is_late(state, record, running, now);
     }
-    return copy_pays(view_of(record, running, where, now), state.rules.hedge);
+    return copy_pays(make_straggler_view(record, running, alternative, now), state.rules.hedge);
 }
 
-// Nothing whole has come yet and it is over its time already: the target is at least that slow.
-void note_late(scheduler_state& state, const request_record& record, const sending& running,
-               kernel::time_point now) {
-    if (running.tokens >= telling_tokens) {
-        return; // Its progress has been counted.
+// Updates the target's slowness from an attempt that is overdue without an answer: its elapsed time
+// is a lower bound.
+void record_late_attempt(scheduler_state& state, const request_record& record,
+                         const attempt_state& running, kernel::time_point now) {
+    if (running.tokens >= min_speed_tokens) {
+        return; // on_progress() has already observed it.
     }
     const double nominal = nominal_so_far(state, record, running, running.size, now);
     const double ratio = seconds(now - running.sent) / nominal;
@@ -108,68 +112,70 @@
     }
 }
 
-bool try_copy(scheduler_state& state, request_record& record, kernel::time_point now,
-              actions& out) {
-    const auto running = record.sendings.front();
-    const auto where = place_copy(state, record, running, now);
-    if (where.outcome != placement_outcome::placed ||
-        !worth_it(state, record, running, where, now)) {
+bool try_hedge(scheduler_state& state, request_record& record, kernel::time_point now,
+               actions& out) {
+    const auto running = record.active_attempts.front();
+    const auto alternative = place_copy(state, record, running, now);
+    if (alternative.outcome != placement_outcome::placed ||
+        !should_hedge(state, record, running, alternative, now)) {
         return false;
     }
-    const double cost = cost_of(record.work, running.resumed + running.tokens);
+    const double cost = cost_of(record.work, running.resumed_tokens + running.tokens);
     if (!spend(record.where->hedges, cost)) {
         return false;
     }
     keep_running_tokens(record, running);
     record.cause = retry_reason::straggler;
-    send(state, record, where, dispatch_kind::hedge, now, out);
+    dispatch_attempt(state, record, alternative, dispatch_kind::hedge, now, out);
     return true;
 }
 
-void look_again(scheduler_state& state, request_record& record, kernel::time_point now) {
-    const auto& running = record.sendings.front();
-    const auto pause = std::max(from_seconds(running.predicted * recheck_share), least_recheck);
-    check_hedge_at(state, record, now + pause);
+void schedule_recheck(scheduler_state& state, request_record& record, kernel::time_point now) {
+    const auto& running = record.active_attempts.front();
+    const auto recheck_delay =
+        std::max(from_seconds(running.predicted * recheck_share), min_recheck_delay);
+    schedule_hedge_check(state, record, now + recheck_delay);
 }
 
 constexpr kernel::duration race_interval = 250ms;
-constexpr kernel::duration telling_time = 1500ms;
-constexpr double lead_share = 0.05;
-constexpr double faster = 1.2;
+constexpr kernel::duration min_race_time = 1500ms;
+constexpr double lead_margin_share = 0.05;
+constexpr double min_speed_ratio = 1.2;
 
-double whole_tokens(const sending& running) {
-    return running.resumed + running.tokens;
+double total_tokens(const attempt_state& running) {
+    return running.resumed_tokens + running.tokens;
 }
 
-double speed_of(const sending& running, kernel::time_point now) {
+double speed_of(const attempt_state& running, kernel::time_point now) {
     return running.tokens / std::max(seconds(now - running.sent), 1e-3);
 }
 
-bool has_lead(const sending& leader, const sending& other, kernel::time_point now) {
-    const double margin = std::max<double>(telling_tokens, lead_share * whole_tokens(other));
-    return whole_tokens(leader) >= whole_tokens(other) + margin &&
-           speed_of(leader, now) >= faster * speed_of(other, now);
-}
-
-// Two copies run to the end only if neither shows that it is faster: the one behind costs tokens
-// and a slot, and can't win any more.
-void end_lost_race(scheduler_state& state, request_record& record, kernel::time_point now,
-                   actions& out) {
-    const auto& first = record.sendings.front();
-    const auto& copy = record.sendings.back();
-    const bool telling = now - copy.sent >= telling_time && copy.tokens >= telling_tokens;
-    const sending* loser = !telling                     ? nullptr
-                           : has_lead(copy, first, now) ? &first
-                           : has_lead(first, copy, now) ? &copy
-                                                        : nullptr;
-    if (loser == nullptr) {
-        check_hedge_at(state, record, now + race_interval);
+bool has_lead(const attempt_state& leader, const attempt_state& other, kernel::time_point now) {
+    const double margin =
+        std::max<double>(min_speed_tokens, lead_margin_share * total_tokens(other));
+    return total_tokens(leader) >= total_tokens(other) + margin &&
+           speed_of(leader, now) >= min_speed_ratio * speed_of(other, now);
+}
+
+// Cancels the slower of two attempts once the other has a clear lead: it can no longer finish first
+// and still takes up a slot and generates tokens. Without a clear lead, both run to the end.
+void cancel_slower_attempt(scheduler_state& state, request_record& record, kernel::time_point now,
+                           actions& out) {
+    const auto& first = record.active_attempts.front();
+    const auto& copy = record.active_attempts.back();
+    const bool comparable = now - copy.sent >= min_race_time && copy.tokens >= min_speed_tokens;
+    const attempt_state* slower = !comparable                  ? nullptr
+                                  : has_lead(copy, first, now) ? &first
+                                  : has_lead(first, copy, now) ? &copy
+                                                               : nullptr;
+    if (slower == nullptr) {
+        schedule_hedge_check(state, record, now + race_interval);
         return;
     }
     out.cancellations.push_back(
-        {record.work.id, state.targets[loser->target].config.id, loser->number, loser->tokens});
-    end_sending(state, record, loser->number);
-    look_again(state, record, now);
+        {record.work.id, state.targets[slower->target].config.id, slower->number, slower->tokens});
+    end_attempt(state, record, slower->number);
+    schedule_recheck(state, record, now);
 }
 
 } // namespace
@@ -179,22 +185,22 @@
         auto& record = *state.hedge_checks.begin()->record;
         state.hedge_checks.erase(state.hedge_checks.begin());
         record.has_hedge_check = false;
-        if (record.sendings.size() == 2) {
-            end_lost_race(state, record, now, out);
+        if (record.active_attempts.size() == 2) {
+            cancel_slower_attempt(state, record, now, out);
             continue;
         }
         if (!is_candidate(state, record)) {
             continue;
         }
-        note_late(state, record, record.sendings.front(), now);
-        if (!try_copy(state, record, now, out)) {
-            look_again(state, record, now);
+        record_late_attempt(state, record, record.active_attempts.front(), now);
+        if (!try_hedge(state, record, now, out)) {
+            schedule_recheck(state, record, now);
         }
     }
 }
 
-void note_group_progress(scheduler_state& state, const request_record& record,
-                         kernel::time_point now) {
+void record_group_progress(scheduler_state& state, const request_record& record,
+                           kernel::time_point now) {
     const auto it = record.where->groups.find(record.work.group);
     if (record.work.group.empty() || it == record.where->groups.end()) {
         return;
@@ -205,13 +211,13 @@
     if (group_done(record) < state.rules.hedge.group_done) {
         return;
     }
-    // The rest of the group is waited for now: look at its members at once.
+    // The group now waits for its last members: check them early for stragglers.
     for (const auto sequence : group.open) {
         auto& member = *state.by_sequence.at(sequence);
         const auto soon = now + state.rules.hedge.min_elapsed;
-        const bool later = !member.has_hedge_check || soon < member.hedge_check;
-        if (later && is_candidate(state, member)) {
-            check_hedge_at(state, member, soon);
+        const bool check_earlier = !member.has_hedge_check || soon < member.hedge_check;
+        if (check_earlier && is_candidate(state, member)) {
+            schedule_hedge_check(state, member, soon);
         }
     }
 }
--- a/src/decide/placement.cpp
+++ b/src/decide/placement.cpp
@@ -8,22 +8,23 @@
 
 namespace {
 
-// A failed answer weighs like this many seconds until the next good one.
-constexpr double failure_seconds = 1;
+// Cost of each consecutive failure of a target; the next success resets the count.
+constexpr double failure_penalty_seconds = 1;
 
-// Below this use a prefix holder is never overloaded, whatever the mean.
-constexpr double easy_use = 0.5;
+// A prefix holder below this utilization is never considered overloaded, whatever the mean.
+constexpr double min_overload_utilization = 0.5;
 
-// Random draws for each wanted candidate before the rest is looked through in order.
+// Random draws per wanted candidate before falling back to a linear scan.
 constexpr std::size_t draws_per_choice = 3;
 
 constexpr double tokens_per_kilotoken = 1000;
 
-// A target over its prediction by this factor is compared with farther ones.
-constexpr double poor_slowness = 2;
+// A target slower than predicted by this factor is compared with farther ones.
+constexpr double slow_target_ratio = 2;
 
-// For each version that the answer is predicted to be beyond the bound: it would be run again.
-constexpr double too_stale_seconds = 1000;
+// Cost per version that the answer is predicted to exceed the staleness bound by: an answer that
+// is too stale has to be run again.
+constexpr double staleness_penalty_seconds = 1000;
 
 double seconds(kernel::duration length) {
     return std::chrono::duration<double>(length).count();
@@ -37,20 +38,21 @@
 
 bool has_room(const target_load& load, const placement_query& query, const policy& rules,
               kernel::time_point now) {
-    // No allowance is over the limit; of a busy pool this spares the estimates of most targets.
+    // The allowance never exceeds the limit. Checking the limit first avoids computing estimates
+    // for most targets of a busy pool.
     if (load.in_flight >= std::max(load.limit.value, 1.0)) {
         return false;
     }
-    double room = allowance(load, rules, now);
-    if (query.reserve && query.priority != priority_class::interactive && room >= 2) {
+    double slots = allowance(load, rules, now);
+    if (query.reserve && query.priority != priority_class::interactive && slots >= 2) {
         const auto& interactive = rules.classes.at(index_of(priority_class::interactive));
-        const double kept = std::ceil(interactive.reserved_slots * room);
-        room -= std::max(0.0, kept - load.interactive_in_flight);
+        const double reserved = std::ceil(interactive.reserved_slots * slots);
+        slots -= std::max(0.0, reserved - load.interactive_in_flight);
     }
     if (query.priority == priority_class::interactive) {
-        room = std::min(room * rules.placement.interactive_overcommit, load.limit.value);
+        slots = std::min(slots * rules.placement.interactive_overcommit, load.limit.value);
     }
-    return load.in_flight + 1.0 <= std::max(room, 1.0);
+    return load.in_flight + 1.0 <= std::max(slots, 1.0);
 }
 
 bool serves_model(const target& config, std::string_view model) {
@@ -58,15 +60,15 @@
            std::ranges::find(config.models, model, &kernel::model_id::str) != config.models.end();
 }
 
-bool suits(const target_load& load, std::uint32_t index, const placement_query& query) {
-    const bool apart = !query.suspect || load.suspects == 0;
+bool meets_constraints(const target_load& load, std::uint32_t index, const placement_query& query) {
+    const bool isolated = !query.suspect || load.suspects == 0;
     const bool ranked = !query.first_ranked_only || load.first_ranked;
-    return apart && ranked && load.version >= query.minimum_version &&
+    return isolated && ranked && load.version >= query.minimum_version &&
            std::ranges::find(query.avoid, index) == query.avoid.end() &&
            serves_model(load.config, query.model);
 }
 
-bool swap_is_ahead(const target_load& load, kernel::time_point now) {
+bool swap_is_pending(const target_load& load, kernel::time_point now) {
     return load.swap && now < load.swap->starts && load.swap->version > load.version;
 }
 
@@ -86,7 +88,7 @@
 
 bool should_wait(const target_load& load, const placement_query& query, const policy& rules,
                  kernel::time_point now) {
-    if (query.versions == nullptr || query.pool == nullptr || !swap_is_ahead(load, now)) {
+    if (query.versions == nullptr || query.pool == nullptr || !swap_is_pending(load, now)) {
         return false;
     }
     const double service =
@@ -94,12 +96,12 @@
     return waiting_pays(view_swap(load, query, service, now), *query.pool);
 }
 
-fitness judge(const target_load& load, std::uint32_t index, const placement_query& query,
-              const policy& rules, kernel::time_point now) {
+fitness check_target(const target_load& load, std::uint32_t index, const placement_query& query,
+                     const policy& rules, kernel::time_point now) {
     if (!takes_work(load, now)) {
         return fitness::closed;
     }
-    if (!suits(load, index, query)) {
+    if (!meets_constraints(load, index, query)) {
         return fitness::unsuitable;
     }
     if (!has_room(load, query, rules, now)) {
@@ -108,23 +110,23 @@
     return should_wait(load, query, rules, now) ? fitness::waits : fitness::fits;
 }
 
-// Time and lag in the pool's own weights; a plain service has only time.
+// Weighted sum of time and version lag, by the pool's weights; for plain services only the time.
 double versions_cost(const target_load& load, const placement_query& query, double time,
                      kernel::time_point now) {
     if (query.versions == nullptr || query.pool == nullptr) {
         return time;
     }
-    double whole = time;
-    if (swap_is_ahead(load, now) && now + from_seconds(time) > load.swap->starts) {
-        whole += seconds(load.swap->ready - load.swap->starts);
+    double total_seconds = time;
+    if (swap_is_pending(load, now) && now + from_seconds(time) > load.swap->starts) {
+        total_seconds += seconds(load.swap->ready - load.swap->starts);
     }
-    const double lag = predicted_lag(*query.versions, load.version, whole, now);
-    const double beyond = std::max(0.0, lag - static_cast<double>(query.pool->staleness_bound));
-    return query.pool->idle_weight * whole + query.pool->staleness_weight * lag +
-           too_stale_seconds * beyond;
+    const double lag = predicted_lag(*query.versions, load.version, total_seconds, now);
+    const double excess_lag = std::max(0.0, lag - static_cast<double>(query.pool->staleness_bound));
+    return query.pool->idle_weight * total_seconds + query.pool->staleness_weight * lag +
+           staleness_penalty_seconds * excess_lag;
 }
 
-// The search within one distance.
+// State of the search among the targets at one distance.
 struct search {
     std::span<const target_load> targets;
     const placement_query& query;
@@ -133,17 +135,17 @@
 
     placement best{};
     double best_score = std::numeric_limits<double>::infinity();
-    double use_sum = 0;
+    double utilization_sum = 0;
     std::size_t found = 0;
     bool full = false;
     bool unsuitable = false;
 };
 
-double use_of(const search& in, const target_load& load) {
+double utilization(const search& in, const target_load& load) {
     return estimated_running(load, in.rules.placement, in.now) / std::max(load.limit.value, 1.0);
 }
 
-void note_wait(search& in, const target_load& load) {
+void record_wait(search& in, const target_load& load) {
     if (in.best.outcome == placement_outcome::placed) {
         return;
     }
@@ -166,17 +168,17 @@
     }
 }
 
-// True if it could be placed there.
+// Evaluates one target; returns whether the request could be placed on it.
 bool consider(search& in, std::uint32_t index) {
     const auto& load = in.targets[index];
-    switch (judge(load, index, in.query, in.rules, in.now)) {
+    switch (check_target(load, index, in.query, in.rules, in.now)) {
     case fitness::fits:
         ++in.found;
-        in.use_sum += use_of(in, load);
+        in.utilization_sum += utilization(in, load);
         compare(in, index);
         return true;
     case fitness::waits:
-        note_wait(in, load);
+        record_wait(in, load);
         break;
     case fitness::full:
         in.full = true;
@@ -191,14 +193,14 @@
 }
 
 void consider_holders(search& in, std::span<const std::uint32_t> tier) {
-    const double mean = in.found == 0 ? 0 : in.use_sum / static_cast<double>(in.found);
-    const double bound = std::max(easy_use, in.rules.placement.load_bound * mean);
+    const double mean = in.found == 0 ? 0 : in.utilization_sum / static_cast<double>(in.found);
+    const double bound = std::max(min_overload_utilization, in.rules.placement.load_bound * mean);
     for (const auto& holder : in.query.holders) {
         const bool believed = in.now < holder.at + in.rules.placement.hint_lifetime;
         if (!believed || std::ranges::find(tier, holder.target) == tier.end()) {
             continue;
         }
-        if (use_of(in, in.targets[holder.target]) <= bound) {
+        if (utilization(in, in.targets[holder.target]) <= bound) {
             consider(in, holder.target);
         }
     }
@@ -212,9 +214,9 @@
             std::mt19937_64& random) {
     std::size_t last = tier.size();
     for (std::size_t i = 0; i < wanted * draws_per_choice && in.found < wanted; ++i) {
-        const auto pick = draw(tier.size(), random);
-        if (pick != last && consider(in, tier[pick])) {
-            last = pick;
+        const auto position = draw(tier.size(), random);
+        if (position != last && consider(in, tier[position])) {
+            last = position;
         }
     }
     const auto start = draw(tier.size(), random);
@@ -249,10 +251,10 @@
     return finish(in);
 }
 
-// Of two distances without a placement, what the caller should hear.
-placement more_telling(const placement& a, const placement& b) {
-    constexpr auto rank = [](const placement& of) {
-        switch (of.outcome) {
+// Returns the more informative of two results, for the caller to act on.
+placement more_informative(const placement& a, const placement& b) {
+    constexpr auto rank = [](const placement& option) {
+        switch (option.outcome) {
         case placement_outcome::placed:
             return 4;
         case placement_outcome::wait_for_swap:
@@ -292,9 +294,10 @@
         size.read *= 1 - placing.prefix_hit;
     }
     double time = predicted_seconds(load, size, query.service_seconds, placing, now);
-    const double use = estimated_running(load, placing, now) / std::max(load.limit.value, 1.0);
-    time *= (1 + use) / traffic_share(load.health, rules.health, now);
-    time += failure_seconds * load.health.consecutive_failures;
+    const double load_ratio =
+        estimated_running(load, placing, now) / std::max(load.limit.value, 1.0);
+    time *= (1 + load_ratio) / traffic_share(load.health, rules.health, now);
+    time += failure_penalty_seconds * load.health.consecutive_failures;
     if (load.how_far != distance::zone) {
         time += seconds(placing.zone_penalty);
     }
@@ -308,7 +311,7 @@
                  const placement_query& query, const policy& rules, kernel::time_point now,
                  std::mt19937_64& random) {
     placement result;
-    bool nearer_open = false;
+    bool nearer_accepts = false;
     for (auto rest = subset; !rest.empty();) {
         const auto how_far = targets[rest.front()].how_far;
         const auto end = std::ranges::find_if(
@@ -316,8 +319,9 @@
         const auto tier = rest.first(static_cast<std::size_t>(end - rest.begin()));
         rest = rest.subspan(tier.size());
         const bool placed = result.outcome == placement_outcome::placed;
-        const bool pays = query.patience_seconds >= crossing_seconds(query.size, rules.placement);
-        if (how_far == distance::remote && nearer_open && !pays && !placed) {
+        const bool worth_crossing =
+            query.patience_seconds >= crossing_seconds(query.size, rules.placement);
+        if (how_far == distance::remote && nearer_accepts && !worth_crossing && !placed) {
             break;
         }
         const auto found = choose_within(targets, tier, query, rules, now, random);
@@ -325,13 +329,13 @@
         if (found.outcome == placement_outcome::placed && cheaper) {
             result = found;
         }
-        // A slow target near is compared with farther ones; the score has the price of distance.
+        // A slow nearby target competes with farther ones; the score includes the cost of distance.
         if (result.outcome == placement_outcome::placed &&
-            current_slowness(targets[result.target], now) < poor_slowness) {
+            current_slowness(targets[result.target], now) < slow_target_ratio) {
             return result;
         }
-        nearer_open = nearer_open || found.outcome != placement_outcome::no_target;
-        result = more_telling(result, found);
+        nearer_accepts = nearer_accepts || found.outcome != placement_outcome::no_target;
+        result = more_informative(result, found);
     }
     return result;
 }
--- a/tests/decide/scenario_tests.cpp
+++ b/tests/decide/scenario_tests.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-const std::filesystem::path folder =
+const std::filesystem::path scenario_dir =
     std::filesystem::path(CORNELLOOM_SOURCE_DIR) / "tests/decide/scenarios";
 
 std::vector<std::filesystem::path> scenario_files() {
     std::vector<std::filesystem::path> files;
-    for (const auto& entry : std::filesystem::directory_iterator(folder)) {
+    for (const auto& entry : std::filesystem::directory_iterator(scenario_dir)) {
         files.push_back(entry.path());
     }
     std::ranges::sort(files);
@@ -27,8 +27,8 @@
     return parse_settings(nlohmann::json::parse(in));
 }
 
-// What no load and no fault excuses.
-void check_promises(const world_outcome& outcome) {
+// Invariants that hold under any load and any fault.
+void check_invariants(const world_outcome& outcome) {
     CHECK(outcome.unanswered == 0);
     CHECK(outcome.false_not_run == 0);
     CHECK(outcome.repeated_non_idempotent == 0);
@@ -53,7 +53,7 @@
             const auto settings = read(file);
             INFO(settings.story);
             const auto outcome = run_world(settings, "cornelloom");
-            check_promises(outcome);
+            check_invariants(outcome);
             const auto measured = measures(outcome);
             const auto value = [&](const std::string& name) {
                 const auto it = measured.find(name);
@@ -77,7 +77,7 @@
 }
 
 TEST_CASE("The same settings give the same outcome", "[decide][scenario]") {
-    auto settings = read(folder / "steady.json");
+    auto settings = read(scenario_dir / "steady.json");
     settings.seconds = 60;
     const auto first = measures(run_world(settings, "cornelloom"));
     const auto again = measures(run_world(settings, "cornelloom"));
@@ -86,9 +86,9 @@
 
 TEST_CASE("A pool's weights decide between waiting for a swap and starting before it",
           "[decide][scenario][staleness]") {
-    // New weights come every quarter minute and a swap ends what runs. A desk that pays for idle
-    // time wants work started at once; a service that pays for old samples wants it to wait for
-    // fresh weights. The same world is run with both weights.
+    // New weights arrive about every 15 seconds, and a swap ends all running requests. A pool that
+    // weights idle time starts work at once; a pool that weights staleness waits for fresh weights.
+    // Runs the same simulation with both settings.
     world_settings settings;
     settings.where = find_deployment("division");
     settings.work.groups = 14;
--- a/tests/decide/schedule_properties.cpp
+++ b/tests/decide/schedule_properties.cpp
@@ -14,14 +14,14 @@
 
 namespace {
 
-struct tracked {
+struct tracked_request {
     request work;
     std::set<std::uint32_t> running;
-    std::size_t reached = 0; ///< Sendings of which a byte may have reached a target.
+    std::size_t maybe_reached = 0; ///< Attempts of which a byte may have reached a target.
     bool ended = false;
 };
 
-// Drives one scheduler by random steps and keeps book of what it was told and what it answered.
+// Drives one scheduler with random events and tracks the requests and the scheduler's decisions.
 class random_schedule {
 public:
     random_schedule() {
@@ -51,11 +51,11 @@
         case 10:
             return configure(*rc::gen::inRange<std::size_t>(1, 5));
         case 11:
-            on_new_version(all_, "pool", *rc::gen::inRange<std::uint64_t>(1, 6), now_);
+            on_new_version(scheduler_, "pool", *rc::gen::inRange<std::uint64_t>(1, 6), now_);
             return;
         default:
             now_ += std::chrono::milliseconds(*rc::gen::inRange(1, 3000));
-            take(tick(all_, now_));
+            apply(tick(scheduler_, now_));
         }
     }
 
@@ -64,11 +64,11 @@
         for (const auto& [id, each] : requests_) {
             running += each.running.size();
             if (!each.work.idempotent) {
-                RC_ASSERT(each.reached + each.running.size() <= 1);
+                RC_ASSERT(each.maybe_reached + each.running.size() <= 1);
             }
         }
-        RC_ASSERT(counts(all_).in_flight == running);
-        for (const auto& view : view_targets(all_, now_)) {
+        RC_ASSERT(counts(scheduler_).in_flight == running);
+        for (const auto& view : view_targets(scheduler_, now_)) {
             RC_ASSERT(view.limit >= 1);
             RC_ASSERT(view.limit <= 4);
             RC_ASSERT(view.in_flight <= running);
@@ -77,13 +77,13 @@
 
     void drain() {
         now_ += 3600s;
-        take(tick(all_, now_));
+        apply(tick(scheduler_, now_));
         check();
-        const auto left = counts(all_);
-        RC_ASSERT(left.requests == 0U);
-        RC_ASSERT(left.in_flight == 0U);
-        RC_ASSERT(left.delayed == 0U);
-        RC_ASSERT(left.queued[0] + left.queued[1] + left.queued[2] == 0U);
+        const auto remaining = counts(scheduler_);
+        RC_ASSERT(remaining.requests == 0U);
+        RC_ASSERT(remaining.in_flight == 0U);
+        RC_ASSERT(remaining.delayed == 0U);
+        RC_ASSERT(remaining.queued[0] + remaining.queued[1] + remaining.queued[2] == 0U);
         RC_ASSERT(
             std::ranges::all_of(requests_, [](const auto& each) { return each.second.ended; }));
     }
@@ -102,12 +102,12 @@
             made.version = 1;
             targets.push_back(made);
         }
-        set_targets(all_, targets, std::span{&self_, 1}, now_);
+        set_targets(scheduler_, targets, std::span{&self_, 1}, now_);
     }
 
     void submit_one() {
         request work;
-        work.id = kernel::request_id{"r" + std::to_string(next_++)};
+        work.id = kernel::request_id{"r" + std::to_string(next_id_++)};
         work.caller = kernel::caller_id{*rc::gen::element<std::string>("a", "b", "c")};
         work.priority = static_cast<priority_class>(*rc::gen::inRange(0, 3));
         work.destination = "pool";
@@ -118,14 +118,14 @@
         work.prefix_hash = *rc::gen::inRange<std::uint64_t>(0, 3);
         work.digest = *rc::gen::inRange<std::uint64_t>(0, 8);
         work.attempts_made = *rc::gen::inRange(0U, 2U);
-        const auto answer = submit(all_, work, now_);
+        const auto answer = submit(scheduler_, work, now_);
         if (answer.has_error()) {
             RC_ASSERT((answer.error().state == kernel::run_state::not_run) ==
                       (work.attempts_made == 0));
             return;
         }
         requests_[work.id].work = work;
-        take(next_dispatches(all_, now_));
+        apply(next_dispatches(scheduler_, now_));
     }
 
     std::optional<std::pair<kernel::request_id, std::uint32_t>> any_running() {
@@ -147,16 +147,17 @@
             return;
         }
         auto& [id, attempt] = *chosen;
-        on_progress(all_, id, attempt, 5, 1, now_);
+        on_progress(scheduler_, id, attempt, 5, 1, now_);
         requests_[id].running.erase(attempt);
-        ++requests_[id].reached;
-        const auto result = on_complete(all_, id, attempt, {10, *rc::gen::inRange(1U, 6U)}, now_);
+        ++requests_[id].maybe_reached;
+        const auto result =
+            on_complete(scheduler_, id, attempt, {10, *rc::gen::inRange(1U, 6U)}, now_);
         if (result.decision == verdict::deliver) {
             end(id);
         }
-        take(result.follow_up);
-        // A second answer of the same sending must change nothing.
-        const auto again = on_complete(all_, id, attempt, {10, 1}, now_);
+        apply(result.follow_up);
+        // A second answer to the same attempt must have no effect.
+        const auto again = on_complete(scheduler_, id, attempt, {10, 1}, now_);
         RC_ASSERT(again.decision == verdict::discard_duplicate);
     }
 
@@ -168,10 +169,10 @@
         auto& [id, attempt] = *chosen;
         const auto kind = static_cast<failure_kind>(*rc::gen::inRange(0, 7));
         requests_[id].running.erase(attempt);
-        requests_[id].reached += kind == failure_kind::not_sent ? 0 : 1;
-        take(on_failure(all_, id, attempt,
-                        {.kind = kind, .tokens = *rc::gen::inRange(0U, 5U), .oldest_version = 1},
-                        now_));
+        requests_[id].maybe_reached += kind == failure_kind::not_sent ? 0 : 1;
+        apply(on_failure(scheduler_, id, attempt,
+                         {.kind = kind, .tokens = *rc::gen::inRange(0U, 5U), .oldest_version = 1},
+                         now_));
     }
 
     void cancel_one() {
@@ -180,7 +181,7 @@
         if (open != requests_.end()) {
             const auto id = open->first;
             end(id);
-            take(on_cancelled(all_, id, now_));
+            apply(on_cancelled(scheduler_, id, now_));
         }
     }
 
@@ -191,9 +192,9 @@
         report.running = *rc::gen::inRange(0U, 6U);
         report.age = std::chrono::milliseconds(*rc::gen::inRange(0, 5000));
         report.loading = *rc::gen::inRange(0, 8) == 0;
-        on_load_report(all_, report, now_);
+        on_load_report(scheduler_, report, now_);
         if (*rc::gen::inRange(0, 20) == 0) {
-            on_leaving(all_, report.target, now_);
+            on_leaving(scheduler_, report.target, now_);
         }
     }
 
@@ -202,25 +203,25 @@
         requests_.at(id).ended = true;
     }
 
-    void take(const actions& todo) {
-        for (const auto& each : todo.cancellations) {
+    void apply(const actions& decisions) {
+        for (const auto& each : decisions.cancellations) {
             auto& request = requests_.at(each.request);
             RC_ASSERT(request.running.erase(each.attempt) == 1U);
-            ++request.reached;
+            ++request.maybe_reached;
         }
-        for (const auto& each : todo.refusals) {
+        for (const auto& each : decisions.refusals) {
             end(each.request);
             const auto& request = requests_.at(each.request);
-            const bool clean = request.reached == 0 && request.work.attempts_made == 0;
-            RC_ASSERT((each.answer.state == kernel::run_state::not_run) == clean);
+            const bool never_sent = request.maybe_reached == 0 && request.work.attempts_made == 0;
+            RC_ASSERT((each.answer.state == kernel::run_state::not_run) == never_sent);
         }
-        for (const auto& each : todo.dispatches) {
+        for (const auto& each : decisions.dispatches) {
             auto& request = requests_.at(each.request);
             RC_ASSERT(!request.ended);
             RC_ASSERT(request.work.deadline > now_);
             RC_ASSERT(request.running.insert(each.attempt).second);
         }
-        for (const auto& each : todo.cancellations) {
+        for (const auto& each : decisions.cancellations) {
             const auto& request = requests_.at(each.request);
             RC_ASSERT(request.ended || request.work.idempotent);
         }
@@ -228,10 +229,10 @@
 
     host self_{kernel::host_id{"h"}, kernel::zone_id{"near"}, kernel::region_id{"own"}};
     policy rules_;
-    scheduler all_{self_, rules_, 7};
+    scheduler scheduler_{self_, rules_, 7};
     kernel::time_point now_{};
-    std::map<kernel::request_id, tracked> requests_;
-    std::size_t next_ = 0;
+    std::map<kernel::request_id, tracked_request> requests_;
+    std::size_t next_id_ = 0;
 };
 
 } // namespace
