--- a/src/decide/internal/configuration.cpp
+++ b/src/decide/internal/configuration.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-std::uint32_t free_slot(scheduler_state& state) {
-    const auto idle = std::ranges::find_if(
+std::uint32_t allocate_slot(scheduler_state& state) {
+    const auto reusable = std::ranges::find_if(
         state.targets, [](const auto& load) { return load.gone && load.in_flight == 0; });
-    if (idle != state.targets.end()) {
-        state.target_index.erase(idle->config.id);
-        *idle = {};
-        return static_cast<std::uint32_t>(idle - state.targets.begin());
+    if (reusable != state.targets.end()) {
+        state.target_index.erase(reusable->config.id);
+        *reusable = {};
+        return static_cast<std::uint32_t>(reusable - state.targets.begin());
     }
     state.targets.emplace_back();
     return static_cast<std::uint32_t>(state.targets.size() - 1);
@@ -41,7 +41,7 @@
 
 void add_target(scheduler_state& state, const target& config) {
     const auto known = state.target_index.find(config.id);
-    const auto index = known == state.target_index.end() ? free_slot(state) : known->second;
+    const auto index = known == state.target_index.end() ? allocate_slot(state) : known->second;
     configure(state.targets[index], config, state.rules, state.self);
     state.target_index.insert_or_assign(config.id, index);
 }
--- a/src/decide/internal/faults.cpp
+++ b/src/decide/internal/faults.cpp
@@ -129,19 +129,19 @@
 
 void refuse_confirmed(scheduler_state& state, kernel::time_point now, actions& out) {
     std::vector<request_record*> found;
-    for (const auto& named : state.pending_quarantines) {
-        if (named.confirmation_due > now ||
-            !is_confirmed(state.crashes, state.rules.quarantine, named.digest, now)) {
+    for (const auto& pending : state.pending_quarantines) {
+        if (pending.confirmation_due > now ||
+            !is_confirmed(state.crashes, state.rules.quarantine, pending.digest, now)) {
             continue;
         }
         for (const auto& [id, record] : state.requests) {
-            if (digest_of(record->work) == named.digest) {
+            if (digest_of(record->work) == pending.digest) {
                 found.push_back(record.get());
             }
         }
     }
     std::erase_if(state.pending_quarantines,
-                  [&](const auto& named) { return named.confirmation_due <= now; });
+                  [&](const auto& pending) { return pending.confirmation_due <= now; });
     // The iteration order of the map is unspecified; sort to keep the outcome deterministic.
     std::ranges::sort(found, {}, &request_record::sequence);
     const auto repeated = std::ranges::unique(found);
--- a/src/decide/internal/stragglers.cpp
+++ b/src/decide/internal/stragglers.cpp
@@ -48,13 +48,13 @@
 }
 
 // The hedged attempt continues from the tokens that the first attempt has produced so far.
-void keep_running_tokens(request_record& record, const attempt_state& running) {
+void keep_current_tokens(request_record& record, const attempt_state& running) {
     record.kept_tokens = running.resumed_tokens + running.tokens;
     record.kept_version = running.oldest_version;
 }
 
-placement place_copy(scheduler_state& state, const request_record& record,
-                     const attempt_state& running, kernel::time_point now) {
+placement place_hedge(scheduler_state& state, const request_record& record,
+                      const attempt_state& running, kernel::time_point now) {
     auto query = query_of(state, record, now);
     std::vector<std::uint32_t> avoid = record.avoid;
     avoid.push_back(running.target);
@@ -115,7 +115,7 @@
 bool try_hedge(scheduler_state& state, request_record& record, kernel::time_point now,
                actions& out) {
     const auto running = record.active_attempts.front();
-    const auto alternative = place_copy(state, record, running, now);
+    const auto alternative = place_hedge(state, record, running, now);
     if (alternative.outcome != placement_outcome::placed ||
         !should_hedge(state, record, running, alternative, now)) {
         return false;
@@ -124,7 +124,7 @@
     if (!spend(record.where->hedges, cost)) {
         return false;
     }
-    keep_running_tokens(record, running);
+    keep_current_tokens(record, running);
     record.cause = retry_reason::straggler;
     dispatch_attempt(state, record, alternative, dispatch_kind::hedge, now, out);
     return true;
@@ -137,7 +137,7 @@
     schedule_hedge_check(state, record, now + recheck_delay);
 }
 
-constexpr kernel::duration race_interval = 250ms;
+constexpr kernel::duration race_check_interval = 250ms;
 constexpr kernel::duration min_race_time = 1500ms;
 constexpr double lead_margin_share = 0.05;
 constexpr double min_speed_ratio = 1.2;
@@ -169,7 +169,7 @@
                                   : has_lead(first, copy, now) ? &copy
                                                                : nullptr;
     if (slower == nullptr) {
-        schedule_hedge_check(state, record, now + race_interval);
+        schedule_hedge_check(state, record, now + race_check_interval);
         return;
     }
     out.cancellations.push_back(
@@ -214,10 +214,10 @@
     // The group now waits for its last members: check them early for stragglers.
     for (const auto sequence : group.open) {
         auto& member = *state.by_sequence.at(sequence);
-        const auto soon = now + state.rules.hedge.min_elapsed;
-        const bool check_earlier = !member.has_hedge_check || soon < member.hedge_check;
+        const auto early_check = now + state.rules.hedge.min_elapsed;
+        const bool check_earlier = !member.has_hedge_check || early_check < member.hedge_check;
         if (check_earlier && is_candidate(state, member)) {
-            schedule_hedge_check(state, member, soon);
+            schedule_hedge_check(state, member, early_check);
         }
     }
 }
--- a/src/decide/placement.cpp
+++ b/src/decide/placement.cpp
@@ -127,7 +127,7 @@
 }
 
 // State of the search among the targets at one distance.
-struct search {
+struct search_state {
     std::span<const target_load> targets;
     const placement_query& query;
     const policy& rules;
@@ -141,50 +141,51 @@
     bool unsuitable = false;
 };
 
-double utilization(const search& in, const target_load& load) {
-    return estimated_running(load, in.rules.placement, in.now) / std::max(load.limit.value, 1.0);
+double utilization(const search_state& state, const target_load& load) {
+    return estimated_running(load, state.rules.placement, state.now) /
+           std::max(load.limit.value, 1.0);
 }
 
-void record_wait(search& in, const target_load& load) {
-    if (in.best.outcome == placement_outcome::placed) {
+void record_wait(search_state& state, const target_load& load) {
+    if (state.best.outcome == placement_outcome::placed) {
         return;
     }
-    const bool sooner = in.best.outcome != placement_outcome::wait_for_swap ||
-                        load.swap->ready < in.best.wait_until;
+    const bool sooner = state.best.outcome != placement_outcome::wait_for_swap ||
+                        load.swap->ready < state.best.wait_until;
     if (sooner) {
-        in.best.outcome = placement_outcome::wait_for_swap;
-        in.best.wait_until = load.swap->ready;
+        state.best.outcome = placement_outcome::wait_for_swap;
+        state.best.wait_until = load.swap->ready;
     }
 }
 
-void compare(search& in, std::uint32_t index) {
-    const auto& load = in.targets[index];
-    const double cost = score(load, index, in.query, in.rules, in.now);
-    if (cost < in.best_score) {
-        in.best_score = cost;
-        in.best.cost = cost;
-        in.best.outcome = placement_outcome::placed;
-        in.best.target = index;
+void compare(search_state& state, std::uint32_t index) {
+    const auto& load = state.targets[index];
+    const double cost = score(load, index, state.query, state.rules, state.now);
+    if (cost < state.best_score) {
+        state.best_score = cost;
+        state.best.cost = cost;
+        state.best.outcome = placement_outcome::placed;
+        state.best.target = index;
     }
 }
 
 // Evaluates one target; returns whether the request could be placed on it.
-bool consider(search& in, std::uint32_t index) {
-    const auto& load = in.targets[index];
-    switch (check_target(load, index, in.query, in.rules, in.now)) {
+bool consider(search_state& state, std::uint32_t index) {
+    const auto& load = state.targets[index];
+    switch (check_target(load, index, state.query, state.rules, state.now)) {
     case fitness::fits:
-        ++in.found;
-        in.utilization_sum += utilization(in, load);
-        compare(in, index);
+        ++state.found;
+        state.utilization_sum += utilization(state, load);
+        compare(state, index);
         return true;
     case fitness::waits:
-        record_wait(in, load);
+        record_wait(state, load);
         break;
     case fitness::full:
-        in.full = true;
+        state.full = true;
         break;
     case fitness::unsuitable:
-        in.unsuitable = true;
+        state.unsuitable = true;
         break;
     case fitness::closed:
         break;
@@ -192,16 +193,18 @@
     return false;
 }
 
-void consider_holders(search& in, std::span<const std::uint32_t> tier) {
-    const double mean = in.found == 0 ? 0 : in.utilization_sum / static_cast<double>(in.found);
-    const double bound = std::max(min_overload_utilization, in.rules.placement.load_bound * mean);
-    for (const auto& holder : in.query.holders) {
-        const bool believed = in.now < holder.at + in.rules.placement.hint_lifetime;
+void consider_holders(search_state& state, std::span<const std::uint32_t> tier) {
+    const double mean =
+        state.found == 0 ? 0 : state.utilization_sum / static_cast<double>(state.found);
+    const double bound =
+        std::max(min_overload_utilization, state.rules.placement.load_bound * mean);
+    for (const auto& holder : state.query.holders) {
+        const bool believed = state.now < holder.at + state.rules.placement.hint_lifetime;
         if (!believed || std::ranges::find(tier, holder.target) == tier.end()) {
             continue;
         }
-        if (utilization(in, in.targets[holder.target]) <= bound) {
-            consider(in, holder.target);
+        if (utilization(state, state.targets[holder.target]) <= bound) {
+            consider(state, holder.target);
         }
     }
 }
@@ -210,45 +213,46 @@
     return std::uniform_int_distribution<std::size_t>(0, below - 1)(random);
 }
 
-void sample(search& in, std::span<const std::uint32_t> tier, std::size_t wanted,
+void sample(search_state& state, std::span<const std::uint32_t> tier, std::size_t wanted,
             std::mt19937_64& random) {
     std::size_t last = tier.size();
-    for (std::size_t i = 0; i < wanted * draws_per_choice && in.found < wanted; ++i) {
+    for (std::size_t i = 0; i < wanted * draws_per_choice && state.found < wanted; ++i) {
         const auto position = draw(tier.size(), random);
-        if (position != last && consider(in, tier[position])) {
+        if (position != last && consider(state, tier[position])) {
             last = position;
         }
     }
     const auto start = draw(tier.size(), random);
-    for (std::size_t i = 0; i < tier.size() && in.found == 0; ++i) {
-        consider(in, tier[(start + i) % tier.size()]);
+    for (std::size_t i = 0; i < tier.size() && state.found == 0; ++i) {
+        consider(state, tier[(start + i) % tier.size()]);
     }
 }
 
-placement finish(search& in) {
-    if (in.best.outcome == placement_outcome::placed) {
-        in.best.seconds = predicted_seconds(in.targets[in.best.target], in.query.size,
-                                            in.query.service_seconds, in.rules.placement, in.now);
-    } else if (in.best.outcome != placement_outcome::wait_for_swap) {
-        in.best.outcome = in.full         ? placement_outcome::no_capacity
-                          : in.unsuitable ? placement_outcome::unsuitable
-                                          : placement_outcome::no_target;
+placement finish(search_state& state) {
+    if (state.best.outcome == placement_outcome::placed) {
+        state.best.seconds =
+            predicted_seconds(state.targets[state.best.target], state.query.size,
+                              state.query.service_seconds, state.rules.placement, state.now);
+    } else if (state.best.outcome != placement_outcome::wait_for_swap) {
+        state.best.outcome = state.full         ? placement_outcome::no_capacity
+                             : state.unsuitable ? placement_outcome::unsuitable
+                                                : placement_outcome::no_target;
     }
-    return in.best;
+    return state.best;
 }
 
 placement choose_within(std::span<const target_load> targets, std::span<const std::uint32_t> tier,
                         const placement_query& query, const policy& rules, kernel::time_point now,
                         std::mt19937_64& random) {
-    search in{.targets = targets, .query = query, .rules = rules, .now = now};
+    search_state state{.targets = targets, .query = query, .rules = rules, .now = now};
     const auto wanted = rules.placement.choices;
     if (wanted == 0 || tier.size() <= wanted) {
-        std::ranges::for_each(tier, [&](auto index) { consider(in, index); });
+        std::ranges::for_each(tier, [&](auto index) { consider(state, index); });
     } else {
-        sample(in, tier, wanted, random);
+        sample(state, tier, wanted, random);
     }
-    consider_holders(in, tier);
-    return finish(in);
+    consider_holders(state, tier);
+    return finish(state);
 }
 
 // Returns the more informative of two results, for the caller to act on.
@@ -311,7 +315,7 @@
                  const placement_query& query, const policy& rules, kernel::time_point now,
                  std::mt19937_64& random) {
     placement result;
-    bool nearer_accepts = false;
+    bool nearer_accepts_work = false;
     for (auto rest = subset; !rest.empty();) {
         const auto how_far = targets[rest.front()].how_far;
         const auto end = std::ranges::find_if(
@@ -321,7 +325,7 @@
         const bool placed = result.outcome == placement_outcome::placed;
         const bool worth_crossing =
             query.patience_seconds >= crossing_seconds(query.size, rules.placement);
-        if (how_far == distance::remote && nearer_accepts && !worth_crossing && !placed) {
+        if (how_far == distance::remote && nearer_accepts_work && !worth_crossing && !placed) {
             break;
         }
         const auto found = choose_within(targets, tier, query, rules, now, random);
@@ -334,7 +338,7 @@
             current_slowness(targets[result.target], now) < slow_target_ratio) {
             return result;
         }
-        nearer_accepts = nearer_accepts || found.outcome != placement_outcome::no_target;
+        nearer_accepts_work = nearer_accepts_work || found.outcome != placement_outcome::no_target;
         result = more_informative(result, found);
     }
     return result;
--- a/tests/decide/scenario_tests.cpp
+++ b/tests/decide/scenario_tests.cpp
@@ -45,7 +45,7 @@
 
 } // namespace
 
-TEST_CASE("Callers get what each scenario promises them", "[decide][scenario]") {
+TEST_CASE("Each scenario meets its bounds and the general invariants", "[decide][scenario]") {
     const auto files = scenario_files();
     REQUIRE(files.size() >= 14);
     for (const auto& file : files) {
--- a/tests/decide/schedule_properties.cpp
+++ b/tests/decide/schedule_properties.cpp
@@ -92,15 +92,15 @@
     void configure(std::size_t size) {
         std::vector<target> targets;
         for (std::size_t i = 0; i < size; ++i) {
-            target made;
-            made.id = kernel::target_id{"t" + std::to_string(i)};
-            made.zone = kernel::zone_id{i % 2 == 0 ? "near" : "far"};
-            made.region = made.zone == self_.zone ? self_.region : kernel::region_id{"other"};
-            made.serves = {"pool"};
-            made.capacity = 4;
-            made.tokens_per_second = 100;
-            made.version = 1;
-            targets.push_back(made);
+            target config;
+            config.id = kernel::target_id{"t" + std::to_string(i)};
+            config.zone = kernel::zone_id{i % 2 == 0 ? "near" : "far"};
+            config.region = config.zone == self_.zone ? self_.region : kernel::region_id{"other"};
+            config.serves = {"pool"};
+            config.capacity = 4;
+            config.tokens_per_second = 100;
+            config.version = 1;
+            targets.push_back(config);
         }
         set_targets(scheduler_, targets, std::span{&self_, 1}, now_);
     }
