--- a/src/decide/admission.cpp
+++ b/src/decide/admission.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-constexpr double least_floor = 0.01;
+constexpr double min_class_share = 0.01;
 constexpr double default_burst_seconds = 10;
-constexpr double least_retry_seconds = 0.1;
-constexpr double greatest_retry_seconds = 600;
+constexpr double min_retry_seconds = 0.1;
+constexpr double max_retry_seconds = 600;
 
 kernel::duration from_seconds(double length) {
-    const double bounded = std::clamp(length, 0.0, greatest_retry_seconds);
+    const double bounded = std::clamp(length, 0.0, max_retry_seconds);
     return std::chrono::duration_cast<kernel::duration>(std::chrono::duration<double>(bounded));
 }
 
@@ -29,14 +29,14 @@
     if (rules.tokens_per_second <= 0) {
         return std::nullopt;
     }
-    const double most = burst_of(rules);
+    const double burst = burst_of(rules);
     const double elapsed = std::chrono::duration<double>(now - bucket.refilled).count();
     bucket.tokens =
-        bucket.started ? std::min(most, bucket.tokens + elapsed * rules.tokens_per_second) : most;
+        bucket.started ? std::min(burst, bucket.tokens + elapsed * rules.tokens_per_second) : burst;
     bucket.refilled = now;
     bucket.started = true;
-    // A request larger than the whole burst passes on a full bucket, or it never could.
-    const double needed = std::min(cost, most);
+    // A request larger than the whole burst passes on a full bucket; otherwise it never could.
+    const double needed = std::min(cost, burst);
     if (bucket.tokens < needed) {
         return from_seconds((needed - bucket.tokens) / rules.tokens_per_second);
     }
@@ -45,32 +45,34 @@
 }
 
 double predicted_wait(const backlog_view& view) {
-    const double fair = std::min(view.in_class, view.of_caller * view.callers);
-    const double cost = view.ahead + fair;
+    const double fair_cost = std::min(view.class_cost, view.caller_cost * view.callers);
+    const double cost = view.cost_ahead + fair_cost;
     if (cost <= 0) {
         return 0;
     }
     if (view.rate <= 0) {
         return std::numeric_limits<double>::infinity();
     }
-    const double in_order = cost / view.rate;
-    const double by_floor = fair / (view.rate * std::max(view.floor, least_floor));
-    return std::min(in_order, by_floor);
+    const double wait_in_order = cost / view.rate;
+    const double wait_by_floor = fair_cost / (view.rate * std::max(view.floor, min_class_share));
+    return std::min(wait_in_order, wait_by_floor);
 }
 
-std::optional<kernel::duration> unreachable(const deadline_view& view, double certainty) {
+std::optional<kernel::duration> retry_delay_if_unreachable(const deadline_view& view,
+                                                           double certainty) {
     const double needed = view.wait + view.service;
-    if (needed * certainty <= view.left) {
+    if (needed * certainty <= view.time_left) {
         return std::nullopt;
     }
-    return from_seconds(std::max(needed - view.left, least_retry_seconds));
+    return from_seconds(std::max(needed - view.time_left, min_retry_seconds));
 }
 
-bool share_exceeded(std::size_t of_caller, std::size_t queued, std::size_t most, double max_share) {
-    if (queued * 2 < most) {
+bool share_exceeded(std::size_t caller_queued, std::size_t queued, std::size_t max_queued,
+                    double max_share) {
+    if (queued * 2 < max_queued) {
         return false;
     }
-    return static_cast<double>(of_caller) >= max_share * static_cast<double>(most);
+    return static_cast<double>(caller_queued) >= max_share * static_cast<double>(max_queued);
 }
 
 } // namespace cornelloom::decide
--- a/src/decide/decide.hpp
+++ b/src/decide/decide.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-/// All of the decide library: pure decisions under load and faults. Embedders use the scheduler;
-/// the single decisions can be used and tested alone.
+/// Umbrella header of the decide library: scheduling decisions under load and faults, without I/O.
+/// Embedders use the scheduler; the individual decisions can be used and tested separately.
 
 #include "decide/admission.hpp"
 #include "decide/fair_queue.hpp"
--- a/src/decide/fair_queue.cpp
+++ b/src/decide/fair_queue.cpp
@@ -6,26 +6,27 @@
 
 namespace {
 
-// Under this weight a visit would be worth so little that `head` had to go round many times.
-constexpr double least_weight = 0.05;
+// With a smaller weight, `head` would need many rounds before the caller can afford an item.
+constexpr double min_weight = 0.05;
 
 void end_turn(fair_queue& queue, caller_queue& served) {
-    served.granted = false;
-    queue.ring.splice(queue.ring.end(), queue.ring, served.place);
+    served.quantum_granted = false;
+    queue.ring.splice(queue.ring.end(), queue.ring, served.ring_position);
 }
 
-void drop(fair_queue& queue, const kernel::caller_id& caller, caller_queue& from, queue_key key) {
+void erase_item(fair_queue& queue, const kernel::caller_id& caller, caller_queue& from,
+                queue_key key) {
     const auto item = from.items.find(key);
     from.cost -= item->second;
     queue.cost -= item->second;
     --queue.size;
     from.items.erase(item);
     if (from.items.empty()) {
-        queue.ring.erase(from.place);
+        queue.ring.erase(from.ring_position);
         queue.callers.erase(kernel::caller_id(caller));
     }
     if (queue.size == 0) {
-        // A rare huge item must not coarsen the rounds for ever.
+        // Otherwise one very large item would make all later rounds coarse.
         queue.quantum = 1;
         queue.cost = 0;
     }
@@ -39,9 +40,9 @@
     auto [entry, added] = queue.callers.try_emplace(caller);
     auto& into = entry->second;
     if (added) {
-        into.place = queue.ring.insert(queue.ring.end(), caller);
+        into.ring_position = queue.ring.insert(queue.ring.end(), caller);
     }
-    into.weight = std::max(weight, least_weight);
+    into.weight = std::max(weight, min_weight);
     into.items.emplace(key, charged);
     into.cost += charged;
     queue.cost += charged;
@@ -54,16 +55,16 @@
     if (entry == queue.callers.end() || !entry->second.items.contains(key)) {
         return false;
     }
-    drop(queue, caller, entry->second, key);
+    erase_item(queue, caller, entry->second, key);
     return true;
 }
 
 std::optional<queue_head> head(fair_queue& queue) {
     while (!queue.ring.empty()) {
         auto& served = queue.callers.at(queue.ring.front());
-        if (!served.granted) {
+        if (!served.quantum_granted) {
             served.deficit += queue.quantum * served.weight;
-            served.granted = true;
+            served.quantum_granted = true;
         }
         const auto& [key, cost] = *served.items.begin();
         if (cost <= served.deficit) {
@@ -96,7 +97,7 @@
         return;
     }
     entry->second.deficit -= item.cost;
-    drop(queue, item.caller, entry->second, item.key);
+    erase_item(queue, item.caller, entry->second, item.key);
 }
 
 std::size_t size_of(const fair_queue& queue, const kernel::caller_id& caller) {
--- a/src/decide/health.cpp
+++ b/src/decide/health.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::uint32_t most_doublings = 16;
+constexpr std::uint32_t max_doublings = 16;
 constexpr kernel::duration base_pause = 100ms;
 
 double seconds(kernel::duration length) {
@@ -21,18 +21,18 @@
 
 double traffic_share(const target_health& health, const health_policy& rules,
                      kernel::time_point now) {
-    if (!health.starting || now >= health.returned + rules.slow_start) {
+    if (!health.in_slow_start || now >= health.slow_start_begin + rules.slow_start) {
         return 1;
     }
-    const double elapsed = std::max(0.0, seconds(now - health.returned));
+    const double elapsed = std::max(0.0, seconds(now - health.slow_start_begin));
     const double progress = elapsed / std::max(seconds(rules.slow_start), 1e-9);
     return rules.slow_start_share + (1 - rules.slow_start_share) * progress;
 }
 
 void on_good_answer(target_health& health, const health_policy& rules, kernel::time_point now) {
     health.consecutive_failures = 0;
-    if (health.starting && now >= health.returned + rules.slow_start) {
-        health.starting = false;
+    if (health.in_slow_start && now >= health.slow_start_begin + rules.slow_start) {
+        health.in_slow_start = false;
         health.ejections = 0;
     }
 }
@@ -43,16 +43,16 @@
 }
 
 void pause(target_health& health, kernel::time_point now) {
-    constexpr std::uint32_t most_steps = 4;
-    health.paused_until = now + base_pause * std::min(health.consecutive_failures, most_steps);
+    constexpr std::uint32_t max_pause_steps = 4;
+    health.paused_until = now + base_pause * std::min(health.consecutive_failures, max_pause_steps);
 }
 
 void eject(target_health& health, const health_policy& rules, kernel::time_point now) {
-    const auto doublings = std::min(health.ejections, most_doublings);
-    const auto length = rules.base_ejection * (std::int64_t{1} << doublings);
-    health.ejected_until = now + std::min(length, rules.max_ejection);
-    health.returned = health.ejected_until;
-    health.starting = true;
+    const auto doublings = std::min(health.ejections, max_doublings);
+    const auto ejection_time = rules.base_ejection * (std::int64_t{1} << doublings);
+    health.ejected_until = now + std::min(ejection_time, rules.max_ejection);
+    health.slow_start_begin = health.ejected_until;
+    health.in_slow_start = true;
     ++health.ejections;
     // One more failure after the return ejects again.
     health.consecutive_failures = rules.consecutive_failures - 1;
@@ -60,13 +60,13 @@
 
 bool observe_failure(zone_observations& zone, const health_policy& rules, std::uint32_t target,
                      kernel::time_point now) {
-    std::erase_if(zone.failures, [&](const auto& seen) {
-        return seen.target == target || seen.at + rules.observer_window < now;
+    std::erase_if(zone.failures, [&](const auto& earlier) {
+        return earlier.target == target || earlier.failed_at + rules.observer_window < now;
     });
     zone.failures.push_back({target, now});
     const auto failed = static_cast<double>(zone.failures.size());
     return zone.failures.size() >= 2 &&
-           failed > rules.observer_share * static_cast<double>(zone.targets);
+           failed > rules.zone_failure_share * static_cast<double>(zone.targets);
 }
 
 } // namespace cornelloom::decide
--- a/src/decide/hedge.cpp
+++ b/src/decide/hedge.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// A sending outside any group is late when it takes this many times its prediction.
+// An attempt outside any group is late once it exceeds this multiple of its predicted time.
 constexpr double late_factor = 2.0;
 
 } // namespace
@@ -27,12 +27,12 @@
     if (std::chrono::duration<double>(rules.min_elapsed).count() > view.elapsed) {
         return false;
     }
-    const bool group_waits = view.group_done >= rules.group_done;
+    const bool group_nearly_done = view.group_done >= rules.group_done;
     const bool late = view.elapsed > late_factor * view.expected;
-    if (!group_waits && !late) {
+    if (!group_nearly_done && !late) {
         return false;
     }
-    return view.remaining_here > rules.gain * view.remaining_there;
+    return view.remaining_here > rules.min_speedup * view.remaining_there;
 }
 
 } // namespace cornelloom::decide
--- a/src/decide/limit.cpp
+++ b/src/decide/limit.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// One straggling answer of six times the usual length doesn't count as overload.
+// Smoothing: a single response of up to six times the usual time does not count as overload.
 constexpr double ratio_gain = 0.2;
 
 } // namespace
@@ -30,7 +30,7 @@
         on_overload(limit, rules, now);
         return;
     }
-    // An idle target's good answers say nothing about what it could bear.
+    // Successful responses of a mostly idle target do not show how much load it can take.
     if (in_use * 2 >= limit.value) {
         limit.value = std::min(limit.value + rules.increase / limit.value, limit.cap);
     }
--- a/src/decide/limit.hpp
+++ b/src/decide/limit.hpp
@@ -4,31 +4,32 @@
 
 namespace cornelloom::decide {
 
-/// How many requests a target runs at once, over all hosts, as learned from its answers.
+/// Adaptive concurrency limit of a target, over all hosts.
 ///
-/// Load: a target that slows down under work (memory pressure, a noisy neighbour). Harm prevented:
-/// a fixed limit keeps its batch full, and a full batch on a slow target makes every answer in it
-/// late, while a smaller one gives as many tokens a second. Answers are compared with those of the
-/// destination's other targets at a full batch, so a limit shrinks only for a target slower than
-/// its peers, and grows back as soon as it is not.
+/// A target may slow down under load (memory pressure, a noisy neighbour). A fixed limit would keep
+/// its batch full and make every response in it late, while a smaller batch yields as many tokens
+/// per second. Responses are compared with those of the destination's other targets at a full
+/// batch, so a limit shrinks only while the target is slower than its peers, and grows back
+/// afterwards.
 struct adaptive_limit {
     double value = 1;
     double cap = 1;
-    double ratio = 1; ///< Smoothed: its answers' time over the usual time at a full batch.
+    double ratio = 1; ///< Smoothed response time relative to the usual time at a full batch.
     kernel::time_point last_decrease{};
 };
 
-/// Starts at the cap: configured capacity is trusted until answers say otherwise.
+/// Starts at the cap: the configured capacity holds until responses show otherwise.
 [[nodiscard]] adaptive_limit make_limit(double capacity, const limit_policy& rules);
 
-/// Keeps the learned part when the capacity changes.
+/// Changes the capacity and keeps the learned ratio of limit to cap.
 void set_capacity(adaptive_limit& limit, double capacity, const limit_policy& rules);
 
-/// An answer took `ratio` times the usual time at a full batch, while `in_use` requests ran.
+/// Records a response that took `ratio` times the usual time at a full batch while `in_use`
+/// requests ran.
 void on_answer(adaptive_limit& limit, const limit_policy& rules, double ratio, double in_use,
                kernel::time_point now);
 
-/// The target refused for overload, timed out or broke.
+/// Records that the target refused for overload, timed out or broke the connection.
 void on_overload(adaptive_limit& limit, const limit_policy& rules, kernel::time_point now);
 
 } // namespace cornelloom::decide
--- a/src/decide/policy.hpp
+++ b/src/decide/policy.hpp
@@ -12,107 +12,117 @@
 using std::chrono_literals::operator""ms;
 using std::chrono_literals::operator""s;
 
-/// Bounds of the queue of one class at one destination. Made for bursts and full saturation: a
-/// queue without a bound turns overload into lateness for everybody.
+/// Limits for the queue of one priority class at one destination. Under bursts and saturation, an
+/// unbounded queue would make every request late.
 struct class_policy {
-    std::size_t max_queued = 10'000; ///< Requests; at 25 a second and node this is minutes of work.
-    double floor = 0.05;       ///< Share of dispatched cost kept for the class when backlogged.
-    double reserved_slots = 0; ///< Share of a target's allowance that lower classes leave free.
+    std::size_t max_queued = 10'000; ///< Requests; minutes of work at 25 requests/s per node.
+    double floor = 0.05; ///< Share of dispatched cost guaranteed to the class while backlogged.
+    double reserved_slots = 0; ///< Share of a target's allowance that lower classes may not use.
 };
 
-/// What one caller may use. Made for skewed demand: one caller must not fill the queue for all.
+/// Limits of one caller. Under skewed demand, one caller must not fill the queue for all others.
 struct caller_policy {
-    double tokens_per_second = 0; ///< Admission rate in cost tokens; 0: not limited.
-    double burst_tokens = 0;      ///< 0: ten seconds of the rate.
+    double tokens_per_second = 0; ///< Admission rate in cost tokens; 0: unlimited.
+    double burst_tokens = 0;      ///< 0: ten seconds at the admission rate.
     double weight = 1;            ///< Relative share among the callers of a class.
 };
 
 struct placement_policy {
-    std::size_t subset_zone = 16;  ///< Targets of the own zone that a host sees, for a destination.
-    std::size_t subset_region = 4; ///< More from the own region's other zones.
-    std::size_t subset_remote = 4; ///< More from other regions, for when the own one is lost.
-    std::size_t choices = 2;       ///< Candidates compared; 0: all. See docs/DECISIONS.md.
-    /// Interactive work may take this times the host's part of a limit, up to the limit: bursts
-    /// seldom come to all hosts at once, and a lookup that waits here waits for nothing.
+    std::size_t subset_zone = 16;  ///< Targets per destination that a host uses in its own zone.
+    std::size_t subset_region = 4; ///< Additional targets in other zones of its region.
+    std::size_t subset_remote =
+        4;                   ///< Additional targets in other regions, in case its own region fails.
+    std::size_t choices = 2; ///< Candidates compared per placement; 0: all. See docs/DECISIONS.md.
+    /// Interactive work may use this multiple of the host's share of a target's limit, up to the
+    /// whole limit. Bursts rarely reach all hosts at once, so a lookup held back by the share would
+    /// usually wait while the target has free capacity.
     double interactive_overcommit = 2;
-    double load_bound = 1.25; ///< Affinity holds while load is below this times the mean.
-    double prefix_hit = 0.9;  ///< Belief in a fresh cache hint; events may be missing.
-    /// How many of a caller's next items are looked through for one whose prefix the free target
-    /// holds, and how often an item may be passed over for such a one.
+    /// Prefix affinity applies while load is below this multiple of the mean.
+    double load_bound = 1.25;
+    double prefix_hit = 0.9; ///< Probability that a fresh cache hint is right; events may be lost.
+    /// How many of a caller's next items are searched for one whose prefix the free target has
+    /// cached, and how often an item may be skipped in favour of such an item.
     std::size_t lookahead = 32;
     std::uint32_t most_passed_over = 64;
-    kernel::duration hint_lifetime = 120s;  ///< A hint older than this is not believed.
-    kernel::duration report_lifetime = 5s;  ///< A report's weight halves with each of these.
-    kernel::duration zone_penalty = 1ms;    ///< For leaving the zone: a round trip.
-    kernel::duration region_penalty = 40ms; ///< For leaving the region: a round trip.
-    /// Price of paid traffic as the seconds of waiting that a thousand tokens sent across a region
-    /// border are worth. Lower: work flows over sooner.
+    kernel::duration hint_lifetime = 120s;  ///< Older cache hints are ignored.
+    kernel::duration report_lifetime = 5s;  ///< Half-life of a load report's weight.
+    kernel::duration zone_penalty = 1ms;    ///< Added outside the zone: one round trip.
+    kernel::duration region_penalty = 40ms; ///< Added outside the region: one round trip.
+    /// Cost of billed cross-region traffic, as seconds of waiting per thousand tokens. A lower
+    /// value makes work overflow to other regions sooner.
     double crossing_seconds_per_kilotoken = 2.0;
 };
 
 struct limit_policy {
-    double floor = 1;       ///< Under one request the target could never show that it recovered.
-    double headroom = 1.0;  ///< Cap as a multiple of the target's capacity.
-    double tolerance = 2.0; ///< Latency over the baseline by this factor counts as overload.
-    double decrease = 0.85; ///< Factor for an overload.
-    double increase = 1.0;  ///< Requests added for each limit's worth of good answers.
-    kernel::duration decrease_interval = 500ms; ///< One decrease for each burst of bad answers.
+    double floor = 1;      ///< Below one request the target could never show that it has recovered.
+    double headroom = 1.0; ///< Upper bound as a multiple of the target's capacity.
+    double tolerance = 2.0; ///< Latency above this multiple of the baseline counts as overload.
+    double decrease = 0.85; ///< Factor applied to the limit on overload.
+    double increase = 1.0;  ///< Requests added per `limit` successful responses.
+    /// At most one decrease per interval, so one per burst of failures.
+    kernel::duration decrease_interval = 500ms;
 };
 
 struct retry_policy {
-    std::uint32_t max_attempts = 4;       ///< Over all hops and hedges.
-    double budget_share = 0.2;            ///< Retries per first sending, over time.
-    double budget_floor_per_second = 1.0; ///< A quiet host may still retry.
-    double budget_cap = 64;               ///< One crashed engine's whole batch may be resumed.
+    std::uint32_t max_attempts = 4;       ///< Over all hops, hedges included.
+    double budget_share = 0.2;            ///< Long-term ratio of retries to first attempts.
+    double budget_floor_per_second = 1.0; ///< Lets an idle host retry.
+    double budget_cap = 64; ///< Enough to resume the whole batch of one crashed engine.
     kernel::duration base_backoff = 50ms;
     kernel::duration max_backoff = 2s;
 };
 
 struct hedge_policy {
     bool enabled = true;
-    double token_share = 0.05; ///< Of dispatched cost that second copies may use.
-    double token_cap = 20'000; ///< Saved up at most, so that a quiet hour buys no storm.
-    double gain = 3;           ///< The copy must be predicted this much faster.
-    double group_done = 0.6;   ///< Share of a group that is done before a member is a straggler.
-    kernel::duration min_elapsed = 200ms; ///< Not before: answers this young are no stragglers.
-    double service_factor = 3.0; ///< A lookup is hedged after this times the usual latency.
+    double token_share = 0.05; ///< Share of dispatched cost that hedges may use.
+    /// Most that can accumulate, so that an idle hour cannot fund a burst of hedges.
+    double token_cap = 20'000;
+    double min_speedup = 3; ///< Factor by which the hedge must be predicted to be faster.
+    /// Share of a group that must be done before a member counts as a straggler.
+    double group_done = 0.6;
+    kernel::duration min_elapsed = 200ms; ///< Younger attempts are never hedged.
+    /// A service request is hedged after this multiple of the usual latency.
+    double service_factor = 3.0;
 };
 
 struct quarantine_policy {
-    std::uint32_t crashes = 2;         ///< Distinct targets that a digest must have crashed.
-    kernel::duration suspicion = 120s; ///< After this without another crash a suspect is clear.
-    /// A named digest is refused only after this, the time that gossip takes: another host may
-    /// have named another digest for the same crash, and then neither is certain.
+    std::uint32_t crash_threshold = 2; ///< Distinct targets that a digest must have crashed.
+    /// A suspect is cleared after this time without another crash.
+    kernel::duration suspicion_lifetime = 120s;
+    /// Delay before an identified digest is refused; covers gossip propagation. Another host may
+    /// have identified a different digest for the same crash, and then neither is certain.
     kernel::duration confirmation = 2s;
-    kernel::duration lifetime = 600s; ///< Then it may try again: the engine may be mended.
-    std::size_t max_entries = 4096;   ///< Oldest go first.
+    /// Afterwards it is admitted again: the engine may have been fixed.
+    kernel::duration lifetime = 600s;
+    std::size_t max_entries = 4096; ///< The oldest entries are evicted first.
 };
 
 struct health_policy {
     std::uint32_t consecutive_failures = 3;
     kernel::duration base_ejection = 2s;
     kernel::duration max_ejection = 60s;
-    double max_ejected_share = 0.34; ///< Of a destination's targets in the subset.
+    double max_ejected_share = 0.34; ///< Share of a destination's targets in the subset.
     kernel::duration slow_start = 10s;
-    double slow_start_share = 0.1; ///< Of the allowance, on return.
-    double observer_share = 0.5;   ///< More of a zone failing at once: doubt the own link.
+    double slow_start_share = 0.1; ///< Share of the allowance when slow start begins.
+    /// Failing share of a zone above which this host suspects its own link.
+    double zone_failure_share = 0.5;
     kernel::duration observer_window = 5s;
 };
 
-/// How a pool weighs a late step against an old sample.
+/// How a pool trades trainer idle time against sample staleness.
 struct pool_policy {
-    std::uint64_t staleness_bound = 8; ///< Versions behind the trainer's that are still accepted.
-    double idle_weight = 1;            ///< Cost of a second of trainer idle time.
-    double staleness_weight = 1;       ///< Cost of a sample's lag of one version, in seconds.
+    std::uint64_t staleness_bound = 8; ///< Accepted lag behind the trainer, in versions.
+    double idle_weight = 1;            ///< Cost of one second of trainer idle time.
+    double staleness_weight = 1;       ///< Cost of one version of sample lag, in seconds.
 };
 
-/// Every limit and weight in force at one time.
+/// All limits and weights of a scheduler.
 struct policy {
     std::array<class_policy, priority_class_count> classes{
         class_policy{.max_queued = 2'000, .floor = 0.2, .reserved_slots = 0.15},
         class_policy{.max_queued = 20'000, .floor = 0.2, .reserved_slots = 0.0},
         class_policy{.max_queued = 20'000, .floor = 0.05, .reserved_slots = 0.0}};
-    double max_caller_share = 0.5; ///< Of a class's queue, once the queue is half full.
+    double max_caller_share = 0.5; ///< Applies once a class's queue is half full.
     caller_policy default_caller;
     std::map<std::string, caller_policy, std::less<>> callers;
     placement_policy placement;
@@ -123,9 +133,9 @@
     health_policy health;
     pool_policy default_pool;
     std::map<std::string, pool_policy, std::less<>> pools;
-    bool predict_deadlines = true; ///< Refuse at once what cannot finish in time.
-    /// Predictions are noisy: refused is what misses its deadline even at this share of the
-    /// predicted time.
+    bool predict_deadlines = true; ///< Refuse at submission what cannot finish in time.
+    /// Predictions are noisy, so a request is refused only if it would miss its deadline even in
+    /// this share of the predicted time.
     double deadline_certainty = 0.7;
 };
 
--- a/src/decide/quarantine.cpp
+++ b/src/decide/quarantine.cpp
@@ -6,29 +6,29 @@
 
 namespace {
 
-// Beyond the time that it had run before: scheduling on the new target may be slower.
+// Added to the time that it ran before the crash: scheduling on the new target may be slower.
 constexpr kernel::duration proof_margin = 3s;
 
-void blame(crash_record& record, std::uint64_t target, kernel::duration ran,
-           kernel::time_point now) {
+void record_crash(crash_record& record, std::uint64_t target, kernel::duration run_time,
+                  kernel::time_point now) {
     if (std::ranges::find(record.targets, target) == record.targets.end()) {
         record.targets.push_back(target);
     }
-    record.last = now;
-    record.longest_run = std::max(record.longest_run, ran);
+    record.last_crash = now;
+    record.longest_run = std::max(record.longest_run, run_time);
 }
 
-// The crash that named it counts no more.
-void withdraw(crash_record& record) {
-    std::erase(record.targets, record.named_by);
+// Undoes an identification: the crash that led to it no longer counts.
+void undo_identification(crash_record& record) {
+    std::erase(record.targets, record.identified_by);
     record.quarantined_until = {};
-    record.named_by = 0;
+    record.identified_by = 0;
 }
 
-void make_room(crash_ledger& ledger, const quarantine_policy& rules) {
+void evict_oldest(crash_ledger& ledger, const quarantine_policy& rules) {
     while (ledger.digests.size() >= std::max<std::size_t>(rules.max_entries, 1)) {
         const auto oldest = std::ranges::min_element(
-            ledger.digests, {}, [](const auto& entry) { return entry.second.last; });
+            ledger.digests, {}, [](const auto& entry) { return entry.second.last_crash; });
         ledger.digests.erase(oldest);
     }
 }
@@ -36,18 +36,18 @@
 crash_record& record_of(crash_ledger& ledger, const quarantine_policy& rules,
                         std::uint64_t digest) {
     if (!ledger.digests.contains(digest)) {
-        make_room(ledger, rules);
+        evict_oldest(ledger, rules);
     }
     return ledger.digests[digest];
 }
 
-// Nobody is named by this crash: each starts, or starts again, with this one target.
-void suspect_all(crash_ledger& ledger, const quarantine_policy& rules, std::uint64_t target,
-                 const std::vector<crash_suspect>& in_flight, kernel::time_point now) {
+// The crash identifies no single request: every one becomes a suspect with only this target.
+void mark_all_suspect(crash_ledger& ledger, const quarantine_policy& rules, std::uint64_t target,
+                      const std::vector<crash_suspect>& in_flight, kernel::time_point now) {
     for (const auto& each : in_flight) {
         auto& record = record_of(ledger, rules, each.digest);
         record.targets.clear();
-        blame(record, target, each.ran, now);
+        record_crash(record, target, each.run_time, now);
     }
 }
 
@@ -60,7 +60,7 @@
     const bool alone =
         in_flight.size() == 1 && is_suspect(ledger, rules, in_flight.front().digest, now);
     if (unproven == 0 && !alone) {
-        suspect_all(ledger, rules, target, in_flight, now);
+        mark_all_suspect(ledger, rules, target, in_flight, now);
         return 0;
     }
     if (unproven > 1) {
@@ -69,13 +69,13 @@
     const auto& culprit =
         alone ? in_flight.front() : *std::ranges::find_if(in_flight, &crash_suspect::unproven);
     auto& record = record_of(ledger, rules, culprit.digest);
-    blame(record, target, culprit.ran, now);
-    if (record.targets.size() < rules.crashes) {
+    record_crash(record, target, culprit.run_time, now);
+    if (record.targets.size() < rules.crash_threshold) {
         return 0;
     }
     record.quarantined_until = now + rules.lifetime;
-    record.named = now;
-    record.named_by = target;
+    record.identified_at = now;
+    record.identified_by = target;
     return culprit.digest;
 }
 
@@ -92,7 +92,7 @@
                 kernel::time_point now) {
     const auto it = ledger.digests.find(digest);
     return it != ledger.digests.end() && !it->second.targets.empty() &&
-           now < it->second.last + rules.suspicion;
+           now < it->second.last_crash + rules.suspicion_lifetime;
 }
 
 kernel::duration proof_time(const crash_ledger& ledger, std::uint64_t digest) {
@@ -104,29 +104,29 @@
                   kernel::time_point now) {
     const auto it = ledger.digests.find(digest);
     return it != ledger.digests.end() && it->second.quarantined_until > now &&
-           now >= it->second.named + rules.confirmation;
+           now >= it->second.identified_at + rules.confirmation;
 }
 
 void quarantine(crash_ledger& ledger, const quarantine_policy& rules,
                 const quarantine_notice& notice, kernel::time_point now) {
-    const auto rival = std::ranges::find_if(ledger.digests, [&](const auto& entry) {
+    const auto conflicting = std::ranges::find_if(ledger.digests, [&](const auto& entry) {
         const auto& record = entry.second;
-        return entry.first != notice.digest && record.named_by != 0 &&
-               record.named_by == notice.crashed_target &&
-               now < record.named + 2 * rules.confirmation;
+        return entry.first != notice.digest && record.identified_by != 0 &&
+               record.identified_by == notice.crashed_target &&
+               now < record.identified_at + 2 * rules.confirmation;
     });
     auto& record = record_of(ledger, rules, notice.digest);
     if (record.quarantined_until > now) {
         return;
     }
-    record.last = now;
-    if (rival != ledger.digests.end()) {
-        withdraw(rival->second);
+    record.last_crash = now;
+    if (conflicting != ledger.digests.end()) {
+        undo_identification(conflicting->second);
         return;
     }
     record.quarantined_until = now + std::min(notice.remaining, rules.lifetime);
-    record.named = now;
-    record.named_by = notice.crashed_target;
+    record.identified_at = now;
+    record.identified_by = notice.crashed_target;
 }
 
 void clear_suspicion(crash_ledger& ledger, std::uint64_t digest) {
@@ -135,14 +135,15 @@
 
 void forgive(crash_ledger& ledger, kernel::time_point from) {
     std::erase_if(ledger.digests, [&](const auto& entry) {
-        return entry.second.last >= from && entry.second.quarantined_until < from;
+        return entry.second.last_crash >= from && entry.second.quarantined_until < from;
     });
 }
 
 void expire(crash_ledger& ledger, const quarantine_policy& rules, kernel::time_point now) {
     std::erase_if(ledger.digests, [&](const auto& entry) {
         const auto& record = entry.second;
-        return record.quarantined_until <= now && record.last + rules.suspicion <= now;
+        return record.quarantined_until <= now &&
+               record.last_crash + rules.suspicion_lifetime <= now;
     });
 }
 
--- a/src/decide/quarantine.hpp
+++ b/src/decide/quarantine.hpp
@@ -7,23 +7,23 @@
 
 namespace cornelloom::decide {
 
-/// What is known of one digest's crashes.
+/// Crash history of one digest.
 struct crash_record {
-    std::vector<std::uint64_t>
-        targets; ///< Hashes of the distinct targets that it may have crashed.
-    kernel::time_point last{};
+    /// Hashes of the distinct targets that it may have crashed.
+    std::vector<std::uint64_t> targets;
+    kernel::time_point last_crash{};
     kernel::time_point quarantined_until{};
-    kernel::time_point named{};     ///< When it was named.
-    std::uint64_t named_by = 0;     ///< The target whose crash named it; 0: not named.
-    kernel::duration longest_run{}; ///< How long it had run when a target crashed.
+    kernel::time_point identified_at{}; ///< When it was identified as the cause of a crash.
+    std::uint64_t identified_by = 0; ///< The target whose crash identified it; 0: not identified.
+    kernel::duration longest_run{};  ///< Longest time that it had run when a target crashed.
 };
 
-/// Finds the one request that crashes each target which runs it.
+/// Crash records by digest, used to find a request that crashes every target it runs on.
 ///
-/// All requests in flight on a crashed target are suspects. Suspects are placed apart from each
-/// other, so a second crash has one suspect on it and names the culprit; if there are several or
-/// none, nobody's count grows. A suspect that has run longer than it had before the crash is
-/// proven and no longer counts as one, unless it was alone on the target.
+/// All requests in flight on a crashed target become suspects. Suspects are placed on different
+/// targets, so a second crash usually involves one suspect and identifies the cause; with several
+/// or none, no crash count grows. A suspect that has run longer than it had before the crash is
+/// proven safe and no longer counts, unless it was alone on the target.
 struct crash_ledger {
     std::unordered_map<std::uint64_t, crash_record> digests;
 };
@@ -31,39 +31,39 @@
 /// A request that was in flight on a crashed target.
 struct crash_suspect {
     std::uint64_t digest = 0;
-    kernel::duration ran{}; ///< Since it was sent.
-    bool unproven = false;  ///< It was a suspect already and had not been proven.
+    kernel::duration run_time{}; ///< Time since it was sent.
+    bool unproven = false;       ///< It was already a suspect and not yet proven safe.
 };
 
-/// Judges one crash; gives the digest that is now quarantined, or 0.
+/// Attributes one crash; returns the digest that is now quarantined, or 0.
 [[nodiscard]] std::uint64_t judge_crash(crash_ledger& ledger, const quarantine_policy& rules,
                                         std::uint64_t target,
                                         const std::vector<crash_suspect>& in_flight,
                                         kernel::time_point now);
 
-/// For how much longer the digest is refused; zero if it isn't.
+/// Remaining quarantine time of the digest; zero if it is not quarantined.
 [[nodiscard]] kernel::duration quarantined_for(const crash_ledger& ledger, std::uint64_t digest,
                                                kernel::time_point now);
 [[nodiscard]] bool is_suspect(const crash_ledger& ledger, const quarantine_policy& rules,
                               std::uint64_t digest, kernel::time_point now);
 
-/// How long a suspect must run on a target to be proven.
+/// How long a suspect must run on a target to be proven safe.
 [[nodiscard]] kernel::duration proof_time(const crash_ledger& ledger, std::uint64_t digest);
 
-/// Whether its time of confirmation is over; only then it is refused.
+/// Whether the digest is quarantined and its confirmation delay is over; only then is it refused.
 [[nodiscard]] bool is_confirmed(const crash_ledger& ledger, const quarantine_policy& rules,
                                 std::uint64_t digest, kernel::time_point now);
 
-/// Takes over what another host has found. If another digest was named for the crash of the same
-/// target just now, two hosts had a suspect each on it: both go back to being suspects. Every host
-/// that hears both comes to the same end.
+/// Applies a quarantine notice of another host. If a different digest was recently identified for
+/// the crash of the same target, two hosts each had a suspect on it, and both digests become
+/// suspects again. Every host that receives both notices reaches the same result.
 void quarantine(crash_ledger& ledger, const quarantine_policy& rules,
                 const quarantine_notice& notice, kernel::time_point now);
 
-/// It was answered whole.
+/// Clears a digest whose request was answered completely.
 void clear_suspicion(crash_ledger& ledger, std::uint64_t digest);
 
-/// The host doubts its own link: what it recorded since `from` blames nobody.
+/// Drops suspicions recorded since `from`, because the host assumes that its own link failed.
 void forgive(crash_ledger& ledger, kernel::time_point from);
 
 void expire(crash_ledger& ledger, const quarantine_policy& rules, kernel::time_point now);
--- a/src/decide/retry.cpp
+++ b/src/decide/retry.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr std::uint32_t most_doublings = 16;
+constexpr std::uint32_t max_doublings = 16;
 
 void refill(retry_budget& budget, const retry_policy& rules, kernel::time_point now) {
-    const double elapsed = std::chrono::duration<double>(now - budget.refilled).count();
-    budget.refilled = now;
+    const double elapsed = std::chrono::duration<double>(now - budget.refilled_at).count();
+    budget.refilled_at = now;
     const double earned = std::max(0.0, elapsed) * rules.budget_floor_per_second;
     budget.tokens = std::min(budget.tokens + earned, rules.budget_cap);
 }
@@ -39,11 +39,10 @@
 
 kernel::duration backoff(const retry_policy& rules, std::uint32_t retries,
                          std::mt19937_64& random) {
-    const auto doubled =
-        rules.base_backoff * (std::int64_t{1} << std::min(retries, most_doublings));
-    const auto most = std::min(doubled, rules.max_backoff);
-    std::uniform_int_distribution<std::int64_t> pick(0, most.count());
-    return kernel::duration{pick(random)};
+    const auto doubled = rules.base_backoff * (std::int64_t{1} << std::min(retries, max_doublings));
+    const auto max_delay = std::min(doubled, rules.max_backoff);
+    std::uniform_int_distribution<std::int64_t> distribution(0, max_delay.count());
+    return kernel::duration{distribution(random)};
 }
 
 } // namespace cornelloom::decide
--- a/src/decide/scheduler.cpp
+++ b/src/decide/scheduler.cpp
@@ -8,92 +8,96 @@
 
 namespace {
 
-// A target that is missing now may be back when the caller asks again.
-constexpr kernel::duration no_target_retry = 1s;
-constexpr kernel::duration least_retry = 100ms;
-constexpr kernel::duration idle_tick = 50ms;
+// A missing target may be back when the caller retries.
+constexpr kernel::duration no_target_retry_delay = 1s;
+constexpr kernel::duration min_retry_delay = 100ms;
+constexpr kernel::duration max_tick_interval = 50ms;
 
 double seconds(kernel::duration length) {
     return std::chrono::duration<double>(length).count();
 }
 
 kernel::duration from_seconds(double length) {
-    constexpr double longest = 600;
+    constexpr double max_seconds = 600;
     return std::chrono::duration_cast<kernel::duration>(
-        std::chrono::duration<double>(std::min(length, longest)));
+        std::chrono::duration<double>(std::min(length, max_seconds)));
 }
 
-kernel::refusal refused(const request& work, kernel::refusal_reason reason,
-                        kernel::duration retry_after, std::string detail = {}) {
-    // An earlier hop may have sent it: this one can't say that it did not run.
+kernel::refusal make_refusal(const request& work, kernel::refusal_reason reason,
+                             kernel::duration retry_after, std::string detail = {}) {
+    // If an earlier hop sent the request, this host cannot claim that it did not run.
     const auto state =
         work.attempts_made > 0 ? kernel::run_state::unknown : kernel::run_state::not_run;
     return {reason, state, retry_after, std::move(detail)};
 }
 
-using check = std::optional<kernel::refusal>;
+using optional_refusal = std::optional<kernel::refusal>;
 
-check check_request(const scheduler_state& state, const request& work, kernel::time_point now) {
+optional_refusal check_request(const scheduler_state& state, const request& work,
+                               kernel::time_point now) {
     if (state.requests.contains(work.id)) {
-        return refused(work, kernel::refusal_reason::malformed, {}, "request id is in use");
+        return make_refusal(work, kernel::refusal_reason::malformed, {},
+                            "request id is already in use");
     }
     if (work.deadline <= now) {
-        return refused(work, kernel::refusal_reason::deadline_passed, {});
+        return make_refusal(work, kernel::refusal_reason::deadline_passed, {});
     }
     if (work.attempts_made > 0 && !work.idempotent) {
-        return refused(work, kernel::refusal_reason::outcome_unknown, {},
-                       "not idempotent and sent by an earlier hop");
+        return make_refusal(work, kernel::refusal_reason::outcome_unknown, {},
+                            "request is not idempotent and was already sent by an earlier hop");
     }
     if (work.attempts_made >= state.rules.retry.max_attempts) {
-        return refused(work, kernel::refusal_reason::retry_budget_spent, least_retry,
-                       "attempts of earlier hops");
+        return make_refusal(work, kernel::refusal_reason::retry_budget_spent, min_retry_delay,
+                            "earlier hops used all attempts");
     }
     const auto digest = digest_of(work);
     if (is_confirmed(state.crashes, state.rules.quarantine, digest, now)) {
-        return refused(work, kernel::refusal_reason::quarantined,
-                       quarantined_for(state.crashes, digest, now), "crashed several targets");
+        return make_refusal(work, kernel::refusal_reason::quarantined,
+                            quarantined_for(state.crashes, digest, now), "crashed several targets");
     }
     return std::nullopt;
 }
 
-check check_destination(const scheduler_state& state, const request& work) {
+optional_refusal check_destination(const scheduler_state& state, const request& work) {
     const auto it = state.destinations.find(work.destination);
     if (it == state.destinations.end() || it->second->kind != work.kind) {
         const auto reason = work.kind == target_kind::engine
                                 ? kernel::refusal_reason::no_such_pool
                                 : kernel::refusal_reason::no_such_service;
-        return refused(work, reason, {}, work.destination);
+        return make_refusal(work, reason, {}, work.destination);
     }
     return std::nullopt;
 }
 
-// Some target must be able to give tokens that are fresh enough, now or after a planned swap.
-check check_targets(const scheduler_state& state, const destination& where, const request& work,
-                    kernel::time_point now) {
+// At least one target must serve a recent enough version, now or after a planned swap.
+optional_refusal check_targets(const scheduler_state& state, const destination& where,
+                               const request& work, kernel::time_point now) {
     const auto oldest =
         where.kind == target_kind::engine
             ? oldest_allowed(where.versions, pool_policy_of(state.rules, where.name),
                              work.minimum_version)
             : std::uint64_t{0};
-    bool any = false;
-    bool fresh = false;
+    bool any_available = false;
+    bool any_fresh = false;
     for (const auto index : where.subset) {
         const auto& load = state.targets[index];
-        const bool here = !load.gone && !load.leaving && !is_ejected(load.health, now);
-        any = any || here;
-        fresh = fresh ||
-                (here && (load.version >= oldest || (load.swap && load.swap->version >= oldest)));
+        const bool available = !load.gone && !load.leaving && !is_ejected(load.health, now);
+        any_available = any_available || available;
+        any_fresh =
+            any_fresh ||
+            (available && (load.version >= oldest || (load.swap && load.swap->version >= oldest)));
     }
-    if (!any) {
-        return refused(work, kernel::refusal_reason::no_target, no_target_retry);
+    if (!any_available) {
+        return make_refusal(work, kernel::refusal_reason::no_target, no_target_retry_delay);
     }
-    if (!fresh) {
-        return refused(work, kernel::refusal_reason::staleness_unreachable, no_target_retry);
+    if (!any_fresh) {
+        return make_refusal(work, kernel::refusal_reason::staleness_unreachable,
+                            no_target_retry_delay);
     }
     return std::nullopt;
 }
 
-double waiting_before(const destination& where, std::size_t index) {
+double cost_before(const destination& where, std::size_t index) {
     double cost = 0;
     for (std::size_t i = 0; i < index; ++i) {
         cost += where.queues.at(i).cost;
@@ -106,56 +110,56 @@
     const auto index = index_of(work.priority);
     const auto& queue = where.queues.at(index);
     const bool known = queue.callers.contains(work.caller);
-    return {.ahead = waiting_before(where, index),
-            .in_class = queue.cost,
-            .of_caller = cost_of(queue, work.caller) + (known ? 0 : cost_of(work, 0)),
+    return {.cost_ahead = cost_before(where, index),
+            .class_cost = queue.cost,
+            .caller_cost = cost_of(queue, work.caller) + (known ? 0 : cost_of(work, 0)),
             .callers = static_cast<double>(queue.callers.size() + (known ? 0 : 1)),
             .rate = where.rate,
             .floor = state.rules.classes.at(index).floor};
 }
 
-deadline_view view_deadline(const scheduler_state& state, const destination& where,
-                            const request& work, kernel::time_point now) {
+deadline_view make_deadline_view(const scheduler_state& state, const destination& where,
+                                 const request& work, kernel::time_point now) {
     auto backlog = backlog_of(state, where, work);
     backlog.rate = where.rate_near;
-    const double near = predicted_wait(backlog);
+    const double near_wait = predicted_wait(backlog);
     backlog.rate = where.rate;
-    // The far targets help once the wait has become longer than the crossing is worth.
+    // Remote targets help only once the wait exceeds the cost of crossing regions.
     const double crossing = crossing_seconds(size_of(work, 0), state.rules.placement);
-    return {.wait = std::min(near, std::max(crossing, predicted_wait(backlog))),
+    return {.wait = std::min(near_wait, std::max(crossing, predicted_wait(backlog))),
             .service = where.seconds_per_cost * cost_of(work, 0),
-            .left = seconds(work.deadline - now)};
+            .time_left = seconds(work.deadline - now)};
 }
 
-check check_queue(const scheduler_state& state, const destination& where, const request& work,
-                  const deadline_view& view) {
+optional_refusal check_queue(const scheduler_state& state, const destination& where,
+                             const request& work, const deadline_view& view) {
     const auto index = index_of(work.priority);
     const auto& queue = where.queues.at(index);
-    const auto most = state.rules.classes.at(index).max_queued;
-    const auto drained = std::max(from_seconds(view.wait), least_retry);
-    if (queue.size >= most) {
-        return refused(work, kernel::refusal_reason::queue_full, drained);
+    const auto queue_limit = state.rules.classes.at(index).max_queued;
+    const auto drain_time = std::max(from_seconds(view.wait), min_retry_delay);
+    if (queue.size >= queue_limit) {
+        return make_refusal(work, kernel::refusal_reason::queue_full, drain_time);
     }
-    if (share_exceeded(size_of(queue, work.caller), queue.size, most,
+    if (share_exceeded(size_of(queue, work.caller), queue.size, queue_limit,
                        state.rules.max_caller_share)) {
-        return refused(work, kernel::refusal_reason::share_exceeded, drained);
+        return make_refusal(work, kernel::refusal_reason::share_exceeded, drain_time);
     }
     if (!state.rules.predict_deadlines) {
         return std::nullopt;
     }
-    if (const auto later = unreachable(view, state.rules.deadline_certainty)) {
-        return refused(work, kernel::refusal_reason::deadline_unreachable, *later);
+    if (const auto retry_delay = retry_delay_if_unreachable(view, state.rules.deadline_certainty)) {
+        return make_refusal(work, kernel::refusal_reason::deadline_unreachable, *retry_delay);
     }
     return std::nullopt;
 }
 
-check check_rate(scheduler_state& state, const request& work, kernel::time_point now) {
+optional_refusal check_rate(scheduler_state& state, const request& work, kernel::time_point now) {
     const auto& rules = policy_of(state.rules, work.caller.str());
     if (rules.tokens_per_second <= 0) {
         return std::nullopt;
     }
-    if (const auto later = charge(state.buckets[work.caller], rules, cost_of(work, 0), now)) {
-        return refused(work, kernel::refusal_reason::rate_limited, *later);
+    if (const auto retry_delay = charge(state.buckets[work.caller], rules, cost_of(work, 0), now)) {
+        return make_refusal(work, kernel::refusal_reason::rate_limited, *retry_delay);
     }
     return std::nullopt;
 }
@@ -194,7 +198,7 @@
     state->self = std::move(self);
     state->rules = std::move(rules);
     state->random.seed(seed);
-    // A host that just started meets the same crashes as one that has saved up its budget.
+    // A newly started host faces the same crashes as one with a full retry budget.
     state->retries.tokens = state->rules.retry.budget_cap;
 }
 
@@ -204,24 +208,24 @@
 
 admission submit(scheduler& all, request work, kernel::time_point now) {
     auto& state = *all.state;
-    if (auto fault = check_request(state, work, now)) {
-        return *std::move(fault);
+    if (auto rejection = check_request(state, work, now)) {
+        return *std::move(rejection);
     }
-    if (auto fault = check_destination(state, work)) {
-        return *std::move(fault);
+    if (auto rejection = check_destination(state, work)) {
+        return *std::move(rejection);
     }
     auto& where = *state.destinations.at(work.destination);
-    if (auto fault = check_targets(state, where, work, now)) {
-        return *std::move(fault);
+    if (auto rejection = check_targets(state, where, work, now)) {
+        return *std::move(rejection);
     }
     refresh_rate(state, where, now);
-    const auto view = view_deadline(state, where, work, now);
-    if (auto fault = check_queue(state, where, work, view)) {
-        return *std::move(fault);
+    const auto view = make_deadline_view(state, where, work, now);
+    if (auto rejection = check_queue(state, where, work, view)) {
+        return *std::move(rejection);
     }
-    // Last, so that a request refused for another reason costs its caller nothing.
-    if (auto fault = check_rate(state, work, now)) {
-        return *std::move(fault);
+    // Checked last, so that a request refused for another reason is not charged to its caller.
+    if (auto rejection = check_rate(state, work, now)) {
+        return *std::move(rejection);
     }
     admit(state, std::move(work), where, now);
     return admitted{now + from_seconds(view.wait + view.service)};
@@ -246,7 +250,7 @@
 
 kernel::time_point next_deadline(const scheduler& all, kernel::time_point now) {
     const auto& state = *all.state;
-    auto next = now + idle_tick;
+    auto next = now + max_tick_interval;
     for (const auto* times : {&state.deadlines, &state.delayed, &state.hedge_checks}) {
         if (!times->empty()) {
             next = std::min(next, times->begin()->at);
--- a/src/decide/scheduler.hpp
+++ b/src/decide/scheduler.hpp
@@ -13,12 +13,12 @@
 
 struct scheduler_state;
 
-/// All decisions of one host about its requests. A plain value without threads, sockets or clock:
-/// the embedding daemon serialises the calls (a mutex) and passes the time. Each request that was
-/// admitted ends in exactly one of: a `deliver` verdict, one entry of `actions::refusals`, or
-/// `on_cancelled`.
+/// Request scheduler of one host. A value type without threads, sockets or a clock: the embedding
+/// daemon serialises the calls (a mutex) and passes the current time. Each admitted request ends in
+/// exactly one of: a `deliver` verdict, an entry of `actions::refusals`, or `on_cancelled`.
 struct scheduler {
-    /// `self` must also be in the hosts of `set_targets`. `seed` feeds jitter and two choices.
+    /// `self` must also be in the hosts of `set_targets`. `seed` initialises the random numbers for
+    /// jitter and for sampling placement candidates.
     scheduler(host self, policy rules, std::uint64_t seed);
     ~scheduler();
     scheduler(const scheduler&) = delete;
@@ -29,86 +29,89 @@
     std::unique_ptr<scheduler_state> state;
 };
 
-/// Puts another set of targets and hosts in force. Work in flight on a target that is gone goes on
-/// and its answers count; the target gets nothing new. Learned speeds and limits are kept by id.
+/// Replaces the targets and hosts. Work in flight on a removed target continues and its responses
+/// count, but the target gets no new work. Learned speeds and limits are kept by target id.
 void set_targets(scheduler& all, std::span<const target> targets, std::span<const host> hosts,
                  kernel::time_point now);
 
-/// Puts other limits and weights in force for decisions from now on; sizes of subsets and caps of
-/// limits count from the next `set_targets`.
+/// Replaces the policy for later decisions. Subset sizes and limit caps take effect with the next
+/// `set_targets`.
 void set_policy(scheduler& all, policy rules);
 
-/// Admits a request into a bounded queue, or refuses it at once.
+/// Admits a request to a bounded queue, or refuses it immediately.
 [[nodiscard]] admission submit(scheduler& all, request work, kernel::time_point now);
 
-/// Places what can be placed now. Call it after each event that may free or add capacity.
+/// Dispatches all requests that can be placed now. Call it after each event that may free or add
+/// capacity.
 [[nodiscard]] actions next_dispatches(scheduler& all, kernel::time_point now);
 
-/// Expires, retries, hedges, and ends quarantines and ejections whose time has come; includes
-/// `next_dispatches`. Call it every 20 to 100 ms; nothing is lost when it is late.
+/// Handles expired deadlines, retries, hedges, and the end of quarantines and ejections; includes
+/// `next_dispatches`. Call it every 20 to 100 ms; a late call loses nothing.
 [[nodiscard]] actions tick(scheduler& all, kernel::time_point now);
 
-/// The first byte of an answer has come.
+/// The first byte of a response has arrived.
 void on_first_byte(scheduler& all, const kernel::request_id& request, std::uint32_t attempt,
                    kernel::time_point now);
 
-/// `tokens` received by this attempt so far (without resumed ones), the oldest by `oldest_version`.
+/// This attempt has received `tokens` so far, without resumed ones; `oldest_version` is the oldest
+/// weight version among them.
 void on_progress(scheduler& all, const kernel::request_id& request, std::uint32_t attempt,
                  std::uint32_t tokens, std::uint64_t oldest_version, kernel::time_point now);
 
-/// A whole answer has come. The first one wins, unless it is stale.
+/// A complete response has arrived. The first one that is not stale is delivered.
 [[nodiscard]] completion_result on_complete(scheduler& all, const kernel::request_id& request,
                                             std::uint32_t attempt, const completion& answer,
                                             kernel::time_point now);
 
-/// A sending failed. What follows (a retry, possibly later, or a refusal) is in the actions.
+/// An attempt failed. The returned actions may hold a refusal; a retry may also follow later.
 [[nodiscard]] actions on_failure(scheduler& all, const kernel::request_id& request,
                                  std::uint32_t attempt, const failure& what,
                                  kernel::time_point now);
 
-/// The caller left: the request is forgotten, its sendings are to be cancelled.
+/// The caller disconnected: drops the request and returns the attempts to cancel.
 [[nodiscard]] actions on_cancelled(scheduler& all, const kernel::request_id& request,
                                    kernel::time_point now);
 
 void on_load_report(scheduler& all, const load_report& report, kernel::time_point now);
 void on_cache_event(scheduler& all, const cache_event& event, kernel::time_point now);
 
-/// First knowledge that a target is leaving: it gets no new work from this call on.
+/// A target is leaving: it gets no new work from this call on.
 void on_leaving(scheduler& all, const kernel::target_id& target, kernel::time_point now);
 
-/// A weight order is planned or has been put off; the latest plan of a target counts.
+/// A weight swap was planned or postponed; the latest plan of a target applies.
 void on_swap_planned(scheduler& all, const swap_plan& plan, kernel::time_point now);
 
-/// The trainers of this pool work with `version` now; the pool's staleness bound counts from it.
+/// The trainers of this pool now use `version`, from which the staleness bound is counted.
 void on_new_version(scheduler& all, std::string_view pool, std::uint64_t version,
                     kernel::time_point now);
 
 /// Another host has quarantined a digest.
 void on_quarantine(scheduler& all, const quarantine_notice& notice, kernel::time_point now);
 
-/// When `tick` next has something to do, for a daemon that sleeps in between.
+/// When `tick` should be called next, for a daemon that sleeps in between.
 [[nodiscard]] kernel::time_point next_deadline(const scheduler& all, kernel::time_point now);
 
-/// Counts for metrics and for `status`.
+/// Counters for metrics and for `status`.
 struct scheduler_counts {
     std::array<std::size_t, priority_class_count> queued{};
-    std::size_t delayed = 0;   ///< Waiting for a retry, a version or a target apart from suspects.
-    std::size_t in_flight = 0; ///< Sendings, hedges included.
-    std::size_t requests = 0;  ///< Admitted and without a final answer.
+    /// Waiting for a retry, a weight version, or a target without another crash suspect.
+    std::size_t delayed = 0;
+    std::size_t in_flight = 0; ///< Attempts, hedges included.
+    std::size_t requests = 0;  ///< Admitted and not yet ended.
     std::size_t quarantined = 0;
     std::size_t targets_leaving = 0;
 };
 
 [[nodiscard]] scheduler_counts counts(const scheduler& all);
 
-/// How one target stands with this host; for `status` and tests.
+/// State of one target as seen by this host, for `status` and tests.
 struct target_view {
     kernel::target_id id;
     std::uint32_t in_flight = 0;
-    double limit = 0;     ///< Adaptive, over all hosts.
-    double allowance = 0; ///< This host's part of it.
-    double share = 1;     ///< Under 1: slow start.
-    double slowness = 1;  ///< Over 1: slower than configured.
+    double limit = 0;     ///< Adaptive limit over all hosts.
+    double allowance = 0; ///< This host's share of the limit.
+    double share = 1;     ///< Below 1 during slow start.
+    double slowness = 1;  ///< Above 1: slower than configured.
     bool ejected = false;
     bool leaving = false;
     std::uint64_t version = 0;
--- a/src/decide/staleness.cpp
+++ b/src/decide/staleness.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr int smoothing = 4;
+constexpr int smoothing_divisor = 4;
 
 double seconds(kernel::duration length) {
     return std::chrono::duration<double>(length).count();
@@ -20,10 +20,11 @@
         return;
     }
     if (versions.newest != 0) {
-        const auto sample = now - versions.since;
-        versions.interval = versions.interval == kernel::duration{}
-                                ? sample
-                                : versions.interval + (sample - versions.interval) / smoothing;
+        const auto elapsed = now - versions.since;
+        versions.interval =
+            versions.interval == kernel::duration{}
+                ? elapsed
+                : versions.interval + (elapsed - versions.interval) / smoothing_divisor;
     }
     versions.newest = version;
     versions.since = now;
@@ -39,25 +40,26 @@
 
 double predicted_lag(const pool_versions& versions, std::uint64_t version, double seconds_left,
                      kernel::time_point now) {
-    const double behind =
+    const double current_lag =
         version >= versions.newest ? 0 : static_cast<double>(versions.newest - version);
     if (versions.interval <= kernel::duration{}) {
-        return behind;
+        return current_lag;
     }
-    const double in_step = seconds(now - versions.since) + seconds_left;
-    return behind + std::floor(std::max(0.0, in_step / seconds(versions.interval)));
+    const double since_newest = seconds(now - versions.since) + seconds_left;
+    return current_lag + std::floor(std::max(0.0, since_newest / seconds(versions.interval)));
 }
 
 bool waiting_pays(const swap_view& view, const pool_policy& rules) {
     if (view.service_seconds <= view.seconds_to_swap) {
         return false;
     }
-    const double pause = view.seconds_to_ready - view.seconds_to_swap;
-    const double start = rules.idle_weight * (view.service_seconds + pause) +
-                         rules.staleness_weight * view.lag_if_started;
-    const double wait = rules.idle_weight * (view.seconds_to_ready + view.service_seconds) +
-                        rules.staleness_weight * view.lag_if_waited;
-    return wait < start;
+    const double swap_seconds = view.seconds_to_ready - view.seconds_to_swap;
+    const double cost_of_starting = rules.idle_weight * (view.service_seconds + swap_seconds) +
+                                    rules.staleness_weight * view.lag_if_started;
+    const double cost_of_waiting =
+        rules.idle_weight * (view.seconds_to_ready + view.service_seconds) +
+        rules.staleness_weight * view.lag_if_waited;
+    return cost_of_waiting < cost_of_starting;
 }
 
 } // namespace cornelloom::decide
--- a/src/decide/subset.hpp
+++ b/src/decide/subset.hpp
@@ -7,28 +7,28 @@
 
 namespace cornelloom::decide {
 
-/// How near a target is to a host.
+/// Distance between a host and a target.
 enum class distance : std::uint8_t { zone, region, remote };
 
 inline constexpr std::size_t distance_count = 3;
 
 [[nodiscard]] distance distance_of(const host& from, const target& to);
 
-/// A target that a host sees, and how many hosts it shares it with.
+/// A target in the subset of a host, and the number of hosts that share it.
 struct subset_member {
-    std::uint32_t target = 0; ///< Index into the targets given.
-    distance how_far = distance::zone;
-    double observers = 1; ///< Hosts that see it, this one included; at least 1.
-    /// This host ranks first for it: only here may it get a suspect of a crash.
+    std::uint32_t target = 0; ///< Index into the list of targets.
+    distance proximity = distance::zone;
+    double observers = 1; ///< Hosts that use the target, this one included; at least 1.
+    /// This host ranks first for the target; only this host may send it a crash suspect.
     bool first_ranked = false;
 };
 
-/// The targets of one destination that `self` sends to, by rendezvous hashing: first of its own
-/// zone, then of its region, then of the other regions. Every host computes the same answer for
-/// every other one, so limits are shared without a message.
+/// The targets of one destination that `self` sends to, chosen by rendezvous hashing: first in its
+/// own zone, then in its region, then in other regions. Every host can compute the subset of every
+/// other host, so limits are shared without messages.
 ///
-/// Load: 370 hosts before 600 targets. Harm prevented: each host with connections, reports and a
-/// limit's part of every target; with 370 observers a part of a limit of 64 is no whole request.
+/// With 370 hosts and 600 targets, each host would otherwise need connections to, reports from and
+/// a share of the limit of every target; a limit of 64 split 370 ways is less than one request.
 [[nodiscard]] std::vector<subset_member>
 choose_subset(std::span<const target> targets, std::span<const host> hosts, const host& self,
               std::string_view destination, const placement_policy& rules);
--- a/src/decide/target_load.hpp
+++ b/src/decide/target_load.hpp
@@ -10,23 +10,23 @@
 
 namespace cornelloom::decide {
 
-/// The latest report of a target, with what this host had in flight there at that time.
+/// The latest load report of a target, with the number of requests that this host had in flight.
 struct reported_load {
     double running = 0;
-    double own = 0;
-    kernel::time_point at{}; ///< When it was true: receipt less its age.
+    double own_in_flight = 0;
+    kernel::time_point at{}; ///< Time of the reported state: receipt minus age.
     bool known = false;
 };
 
-/// All that placement knows of one target. Own sendings are known exactly; the rest are hints.
+/// Placement state of one target. Only this host's own attempts are known exactly.
 struct target_load {
     target config;
     distance how_far = distance::zone;
     double observers = 1;
     bool first_ranked = false;
 
-    bool gone = false;     ///< Not in the configuration any more.
-    bool was_gone = false; ///< Before the configuration that is being put in force.
+    bool gone = false;     ///< No longer configured.
+    bool was_gone = false; ///< Value of `gone` before the configuration being applied.
     bool leaving = false;
     bool loading = false;
     std::uint64_t version = 0;
@@ -38,41 +38,41 @@
 
     std::uint32_t in_flight = 0;
     std::uint32_t interactive_in_flight = 0;
-    std::uint32_t suspects = 0;   ///< Unproven suspects of a crash in flight.
-    kernel::time_point crashed{}; ///< Sendings up to then belong to the last crash.
+    std::uint32_t suspects = 0;   ///< Crash suspects in flight that are not proven safe.
+    kernel::time_point crashed{}; ///< Attempts sent up to then belong to the last crash.
     bool has_crashed = false;
 
-    double tokens_per_second = 0; ///< As a whole, configured or reported.
-    double slowness = 1;          ///< Smoothed actual-to-predicted ratio.
-    kernel::time_point slowness_at{};
+    double tokens_per_second = 0; ///< Total throughput, configured or reported.
+    double slowness = 1;          ///< Smoothed ratio of actual to predicted time.
+    kernel::time_point slowness_updated{};
 };
 
-/// What an answer takes: tokens to read in and tokens to generate; both 0 for a plain service.
+/// Size of a response: prompt tokens to read and tokens to generate; both 0 for a service.
 struct answer_size {
     double read = 0;
     double generate = 0;
 };
 
-/// Weight of a report: 1 when fresh, halved with each lifetime.
+/// Weight of the load report: 1 when fresh, halved with each report lifetime.
 [[nodiscard]] double freshness(const target_load& load, const placement_policy& rules,
                                kernel::time_point now);
 
-/// Requests that run there over all hosts: own ones exactly, others' from the discounted report,
-/// and for the discounted part as if each other host sent as much as this one.
+/// Estimated requests of all hosts on the target. Own requests are exact; those of other hosts
+/// blend the report, by its freshness, with the assumption that every host sends as much as this.
 [[nodiscard]] double estimated_running(const target_load& load, const placement_policy& rules,
                                        kernel::time_point now);
 
-/// This host's part of the limit: an even share, and an even share of what the last report shows
-/// as free beyond it. Slow start takes its part off. At least one.
+/// This host's share of the limit: an even share, or more if the last report shows free capacity,
+/// which is split evenly too. Reduced during slow start; at least one.
 [[nodiscard]] double allowance(const target_load& load, const policy& rules,
                                kernel::time_point now);
 
-/// Ratio of actual to predicted time, forgotten by half every half minute without an answer, so
-/// that a target which lost its share is tried again.
+/// Ratio of actual to predicted time. Decays towards 1 with a half-life of 30 s without responses,
+/// so that a slow target which lost its traffic is tried again.
 [[nodiscard]] double current_slowness(const target_load& load, kernel::time_point now);
 
-/// Seconds for an answer by configured speeds when `running` requests share the target;
-/// `service_seconds` is the usual time of the destination, for plain services.
+/// Seconds for a response at the configured speed when `running` requests share the target.
+/// `service_seconds` is the usual response time of the destination, used for services.
 [[nodiscard]] double nominal_seconds(const target_load& load, const answer_size& size,
                                      double running, double service_seconds);
 
@@ -80,7 +80,7 @@
                                        double service_seconds, const placement_policy& rules,
                                        kernel::time_point now);
 
-/// Learns from an answer or its progress; `gain` is the weight of this observation.
+/// Updates the slowness from a response or its progress; `gain` is the weight of the observation.
 void observe_ratio(target_load& load, double ratio, double gain, kernel::time_point now);
 
 } // namespace cornelloom::decide
--- a/tests/decide/scheduler_tests.cpp
+++ b/tests/decide/scheduler_tests.cpp
@@ -13,29 +13,29 @@
                 kernel::region_id{"malopolska"}};
 
 target service_target(const char* id, std::uint32_t capacity) {
-    target made;
-    made.id = kernel::target_id{id};
-    made.zone = self.zone;
-    made.region = self.region;
-    made.kind = target_kind::service;
-    made.serves = {"catalogue-app"};
-    made.capacity = capacity;
-    return made;
+    target result;
+    result.id = kernel::target_id{id};
+    result.zone = self.zone;
+    result.region = self.region;
+    result.kind = target_kind::service;
+    result.serves = {"catalogue-app"};
+    result.capacity = capacity;
+    return result;
 }
 
-request lookup(const char* id, bool idempotent) {
-    request made;
-    made.id = kernel::request_id{id};
-    made.caller = kernel::caller_id{"broker"};
-    made.priority = priority_class::interactive;
-    made.kind = target_kind::service;
-    made.destination = "catalogue-app";
-    made.idempotent = idempotent;
-    made.deadline = kernel::time_point{10s};
-    return made;
+request service_request(const char* id, bool idempotent) {
+    request result;
+    result.id = kernel::request_id{id};
+    result.caller = kernel::caller_id{"broker"};
+    result.priority = priority_class::interactive;
+    result.kind = target_kind::service;
+    result.destination = "catalogue-app";
+    result.idempotent = idempotent;
+    result.deadline = kernel::time_point{10s};
+    return result;
 }
 
-scheduler one_target() {
+scheduler scheduler_with_one_target() {
     scheduler all{self, {}, 1};
     const std::vector targets{service_target("app-1", 4)};
     set_targets(all, targets, std::span{&self, 1}, kernel::time_point{});
@@ -44,30 +44,30 @@
 
 } // namespace
 
-request sample(const std::string& id, std::uint64_t digest) {
-    request made;
-    made.id = kernel::request_id{id};
-    made.caller = kernel::caller_id{"trainer"};
-    made.destination = "leaf-models";
-    made.idempotent = true;
-    made.output_tokens = 100;
-    made.digest = digest;
-    made.deadline = kernel::time_point{600s};
-    return made;
+request engine_request(const std::string& id, std::uint64_t digest) {
+    request result;
+    result.id = kernel::request_id{id};
+    result.caller = kernel::caller_id{"trainer"};
+    result.destination = "leaf-models";
+    result.idempotent = true;
+    result.output_tokens = 100;
+    result.digest = digest;
+    result.deadline = kernel::time_point{600s};
+    return result;
 }
 
-scheduler engines(std::size_t count) {
+scheduler scheduler_with_engines(std::size_t count) {
     policy rules;
     rules.placement.subset_zone = count;
     scheduler all{self, rules, 1};
     std::vector<target> targets;
     for (std::size_t i = 0; i < count; ++i) {
-        auto made = service_target(("engine-" + std::to_string(i)).c_str(), 8);
-        made.kind = target_kind::engine;
-        made.serves = {"leaf-models"};
-        made.tokens_per_second = 800;
-        made.version = 1;
-        targets.push_back(made);
+        auto result = service_target(("engine-" + std::to_string(i)).c_str(), 8);
+        result.kind = target_kind::engine;
+        result.serves = {"leaf-models"};
+        result.tokens_per_second = 800;
+        result.version = 1;
+        targets.push_back(result);
     }
     set_targets(all, targets, std::span{&self, 1}, kernel::time_point{});
     return all;
@@ -82,10 +82,11 @@
 }
 
 TEST_CASE("A non-idempotent request is not sent again after a broken answer", "[decide][retry]") {
-    // A volunteer's price sync is sent and the connection breaks before an answer. A second
-    // sending would print a wrong reserve price: the caller hears that the outcome is unknown.
-    auto all = one_target();
-    REQUIRE(submit(all, lookup("sync", false), kernel::time_point{}).has_value());
+    // The connection breaks after the request was sent and before a response. Sending it again
+    // could apply it twice (for a price sync: publish a wrong price), so the outcome is reported
+    // unknown.
+    auto all = scheduler_with_one_target();
+    REQUIRE(submit(all, service_request("sync", false), kernel::time_point{}).has_value());
     const auto sent = next_dispatches(all, kernel::time_point{});
     REQUIRE(sent.dispatches.size() == 1);
     const auto after = on_failure(all, kernel::request_id{"sync"}, sent.dispatches[0].attempt,
@@ -96,13 +97,13 @@
     CHECK(counts(all).requests == 0);
 }
 
-TEST_CASE("What expired in the queue is refused as not run, what was sent is not",
+TEST_CASE("Requests that expire in the queue are refused as not run, dispatched ones as unknown",
           "[decide][refusal]") {
-    // Five syncs meet a worker with four places. The fifth never leaves this host and may be asked
-    // for again at once; of the other four nobody knows.
-    auto all = one_target();
+    // Five requests for a target with four slots. The fifth never leaves this host, so the caller
+    // may retry it; the outcome of the other four is unknown.
+    auto all = scheduler_with_one_target();
     for (const auto* id : {"a", "b", "c", "d", "e"}) {
-        REQUIRE(submit(all, lookup(id, false), kernel::time_point{}).has_value());
+        REQUIRE(submit(all, service_request(id, false), kernel::time_point{}).has_value());
     }
     REQUIRE(next_dispatches(all, kernel::time_point{}).dispatches.size() == 4);
     const auto late = tick(all, kernel::time_point{11s});
@@ -115,34 +116,35 @@
     }));
 }
 
-TEST_CASE("Attempts of earlier hops count and forbid a claim of not run", "[decide][retry]") {
-    auto all = one_target();
-    auto again = lookup("again", true);
+TEST_CASE("Attempts of earlier hops count and rule out the state not run", "[decide][retry]") {
+    auto all = scheduler_with_one_target();
+    auto again = service_request("again", true);
     again.attempts_made = 4;
     const auto spent = submit(all, again, kernel::time_point{});
     REQUIRE(spent.has_error());
     CHECK(spent.error().reason == kernel::refusal_reason::retry_budget_spent);
     CHECK(spent.error().state == kernel::run_state::unknown);
 
-    auto sync = lookup("sync", false);
+    auto sync = service_request("sync", false);
     sync.attempts_made = 1;
     const auto sent = submit(all, sync, kernel::time_point{});
     REQUIRE(sent.has_error());
     CHECK(sent.error().reason == kernel::refusal_reason::outcome_unknown);
 }
 
-TEST_CASE("A leaving target gets nothing from the first knowledge on", "[decide][leaving]") {
-    auto all = engines(2);
+TEST_CASE("A leaving target gets no new work", "[decide][leaving]") {
+    auto all = scheduler_with_engines(2);
     on_leaving(all, kernel::target_id{"engine-0"}, kernel::time_point{});
-    const auto sent = submit_all(all, {sample("a", 1), sample("b", 2), sample("c", 3)}, {});
+    const auto sent = submit_all(
+        all, {engine_request("a", 1), engine_request("b", 2), engine_request("c", 3)}, {});
     REQUIRE(sent.size() == 3);
     CHECK(std::ranges::all_of(
         sent, [](const auto& each) { return each.target == kernel::target_id{"engine-1"}; }));
 }
 
-TEST_CASE("A broken stream goes on from its tokens", "[decide][resume]") {
-    auto all = engines(2);
-    const auto sent = submit_all(all, {sample("a", 1)}, {});
+TEST_CASE("A broken stream resumes from the tokens received", "[decide][resume]") {
+    auto all = scheduler_with_engines(2);
+    const auto sent = submit_all(all, {engine_request("a", 1)}, {});
     (void)on_failure(
         all, sent[0].request, sent[0].attempt,
         {.kind = failure_kind::broken, .tokens = 60, .oldest_version = 1, .kv_exported = true},
@@ -155,17 +157,18 @@
     CHECK(again[0].target != sent[0].target);
 }
 
-TEST_CASE("The request that crashes each target is quarantined and its neighbours are not",
+TEST_CASE("A request that crashes every target is quarantined and its neighbours are not",
           "[decide][quarantine]") {
-    // Three samples run on one engine and it dies. They are run again, each on an engine of its
-    // own; the engine of one of them dies again. That one is refused, also when its caller sends
-    // it again, until the quarantine expires; the two others are answered.
-    auto all = engines(4);
+    // Three samples run on one engine that crashes. They are retried on separate engines, and one
+    // of these crashes again. Its sample is refused, even when resubmitted, until the quarantine
+    // expires; the other two are unaffected.
+    auto all = scheduler_with_engines(4);
     for (const auto* other : {"engine-1", "engine-2", "engine-3"}) {
         on_load_report(all, {.target = kernel::target_id{other}, .version = 1, .loading = true},
                        {});
     }
-    const auto first = submit_all(all, {sample("a", 1), sample("b", 2), sample("culprit", 3)}, {});
+    const auto first = submit_all(
+        all, {engine_request("a", 1), engine_request("b", 2), engine_request("culprit", 3)}, {});
     REQUIRE(first.size() == 3);
     for (const auto* other : {"engine-1", "engine-2", "engine-3"}) {
         on_load_report(all, {.target = kernel::target_id{other}, .version = 1},
@@ -191,19 +194,19 @@
     CHECK(confirmed.refusals[0].answer.reason == kernel::refusal_reason::quarantined);
     CHECK(counts(all).requests == 2);
 
-    const auto resent = submit(all, sample("resent", 3), kernel::time_point{30s});
+    const auto resent = submit(all, engine_request("resent", 3), kernel::time_point{30s});
     REQUIRE(resent.has_error());
     CHECK(resent.error().reason == kernel::refusal_reason::quarantined);
     CHECK(resent.error().retry_after > 0s);
-    auto later = sample("later", 3);
+    auto later = engine_request("later", 3);
     later.deadline = kernel::time_point{2000s};
     (void)tick(all, kernel::time_point{700s});
     CHECK(submit(all, later, kernel::time_point{700s}).has_value());
 }
 
-TEST_CASE("Two names for one crash cancel each other", "[decide][quarantine]") {
-    // Hosts A and B each had a suspect on the engine that died; A names its own, B's name comes by
-    // gossip. One of them is innocent and nobody knows which: both stay suspects.
+TEST_CASE("Two digests identified for one crash cancel each other", "[decide][quarantine]") {
+    // Hosts A and B each had a suspect on the engine that crashed. A identifies its own suspect and
+    // receives B's by gossip. Only one can be the cause, so both remain suspects.
     const quarantine_policy rules;
     crash_ledger ledger;
     const kernel::time_point now{100s};
@@ -216,10 +219,11 @@
     CHECK(is_confirmed(ledger, rules, 7, now + 15s));
 }
 
-TEST_CASE("Lookups find a free place beside rollouts, and syncs are not starved",
+TEST_CASE("Interactive requests find a reserved slot and background requests are not starved",
           "[decide][queue]") {
-    // Rollouts and syncs pile up at a service that also answers brokers. A lookup is sent at once;
-    // while lookups keep coming, one in some hundred places still goes to a sync.
+    // A backlog of background syncs at a service that also answers interactive lookups. A lookup is
+    // sent immediately; while lookups keep arriving, a share of the slots, about one in a hundred,
+    // still goes to syncs.
     policy rules;
     rules.predict_deadlines = false;
     rules.placement.interactive_overcommit = 1;
@@ -229,7 +233,7 @@
     std::size_t number = 0;
     const auto add = [&](priority_class priority, int count) {
         for (int i = 0; i < count; ++i) {
-            auto work = lookup(("r" + std::to_string(number++)).c_str(), true);
+            auto work = service_request(("r" + std::to_string(number++)).c_str(), true);
             work.priority = priority;
             work.deadline = kernel::time_point{6000s};
             REQUIRE(submit(all, work, {}).has_value());
