--- a/src/decide/policy.hpp
+++ b/src/decide/policy.hpp
@@ -30,8 +30,8 @@
 struct placement_policy {
     std::size_t subset_zone = 16;  ///< Targets per destination that a host uses in its own zone.
     std::size_t subset_region = 4; ///< Additional targets in other zones of its region.
-    std::size_t subset_remote =
-        4;                   ///< Additional targets in other regions, in case its own region fails.
+    /// Additional targets in other regions, in case its own region fails.
+    std::size_t subset_remote = 4;
     std::size_t choices = 2; ///< Candidates compared per placement; 0: all. See docs/DECISIONS.md.
     /// Interactive work may use this multiple of the host's share of a target's limit, up to the
     /// whole limit. Bursts rarely reach all hosts at once, so a lookup held back by the share would
--- a/src/decide/staleness.hpp
+++ b/src/decide/staleness.hpp
@@ -17,7 +17,7 @@
 [[nodiscard]] std::uint64_t oldest_allowed(const pool_versions& versions, const pool_policy& rules,
                                            std::uint64_t requested);
 
-/// Versions by which tokens of `version` will lag when the response completes in `seconds`.
+/// Versions by which tokens of `version` will lag when the response completes in `seconds_left`.
 [[nodiscard]] double predicted_lag(const pool_versions& versions, std::uint64_t version,
                                    double seconds_left, kernel::time_point now);
 
