--- a/src/front/batch_desk.cpp
+++ b/src/front/batch_desk.cpp
@@ -80,8 +80,7 @@
     if (is_ended) {
         co_await answer_status(request, 200);
     } else {
-        co_await fail(*self, request, batch->state.header.id, "end of batch could not be stored",
-                      true);
+        co_await fail(*self, request, batch->state.header.id, "end not stored", true);
     }
 }
 
--- a/src/front/batch_submit.cpp
+++ b/src/front/batch_submit.cpp
@@ -32,7 +32,7 @@
     const bool refused = judge_submission(store_result, outcome) == submission_answer::refuse;
     note(self, batch_refused,
          {{"id", header.id},
-          {"why", refused ? "store unreachable" : "store did not answer"},
+          {"why", refused ? "store unreachable" : "store does not answer"},
           {"fault", to_string(store_result)},
           {"nothing_sent", outcome == early_outcome::nothing_sent}});
     if (refused) {
--- a/src/front/events.hpp
+++ b/src/front/events.hpp
@@ -86,7 +86,7 @@
     "sending the items of a batch was paused because its log may have "
     "entries that this host does not know, or was resumed"};
 inline constexpr event order_lease_changed{9050, "order_lease_changed", event_level::info,
-                                           "the lease for load orders changed hands"};
+                                           "the order lease changed hands"};
 inline constexpr event order_given{9051, "order_given", event_level::info,
                                    "a target was ordered to load a model version"};
 inline constexpr event load_ended{
@@ -94,7 +94,7 @@
     "a target finished loading a version; the duration determines how "
     "many targets may load concurrently"};
 inline constexpr event usage_reported{9052, "usage_reported", event_level::info,
-                                      "a usage window was reported to the platform"};
+                                      "a usage report was sent to the platform"};
 inline constexpr event targets_ordered{9053, "targets_ordered", event_level::info,
                                        "a number of targets was requested from the platform"};
 inline constexpr event retirement_answered{9060, "retirement_answered", event_level::info,
--- a/tools/check-events.sh
+++ b/tools/check-events.sh
@@ -4,8 +4,8 @@
 set -euo pipefail
 cd "$(dirname "$0")/.."
 in_code=$(cat src/*/events.hpp | tr '\n' ' ' |
-    grep -oE 'event [a-z0-9_]+\{[0-9]+, *"[a-z0-9_]+", *(kernel::)?event_level::[a-z]+' |
-    sed -E 's/event ([a-z0-9_]+)\{([0-9]+), *"([a-z0-9_]+)", *(kernel::)?event_level::([a-z]+)/\2 \3 \5 \1/' | sort)
+    grep -oE 'event [a-z0-9_]+\{ *[0-9]+, *"[a-z0-9_]+", *(kernel::)?event_level::[a-z]+' |
+    sed -E 's/event ([a-z0-9_]+)\{ *([0-9]+), *"([a-z0-9_]+)", *(kernel::)?event_level::([a-z]+)/\2 \3 \5 \1/' | sort)
 status=0
 misnamed=$(awk '$2 != $4 { print "  " $0 }' <<<"$in_code")
 if [ -n "$misnamed" ]; then
