--- a/soak/internal/day.cpp
+++ b/soak/internal/day.cpp
@@ -52,14 +52,14 @@
     settings.zone = zones.at(static_cast<std::size_t>(index) % zones.size());
     settings.region = "region";
     settings.region_of_zone = {{"zone-a", "region"}, {"zone-b", "region"}};
-    settings.callers = address(self, host_group, index, callers_port);
-    settings.readiness = address(self, host_group, index, readiness_port);
-    settings.peers = address(self, host_group, index, peers_port);
+    settings.caller_endpoint = address(self, host_group, index, callers_port);
+    settings.readiness_endpoint = address(self, host_group, index, readiness_port);
+    settings.peer_endpoint = address(self, host_group, index, peers_port);
     settings.seeds = {address(self, host_group, 0, peers_port),
                       address(self, host_group, 1, peers_port)};
     settings.platform = address(self, store_way_group, index, store_port);
-    settings.grace = grace;
-    settings.revocation = self.book.bounds.revocation;
+    settings.grace_period = grace;
+    settings.revocation_bound = self.book.bounds.revocation;
     one->executable = self.options.executable;
     one->folder = self.options.folder;
     one->store_way = std::make_shared<proxy>(self.io, address(self, store_group, 0, store_port));
@@ -122,8 +122,9 @@
         transport::http_request message;
         message.path = "/readiness";
         message.headers.push_back({"Host", "host"});
-        auto outcome = co_await loop::call(pool, one.settings.readiness, std::move(message),
-                                           loop::after(readiness_every), readiness_every);
+        auto outcome =
+            co_await loop::call(pool, one.settings.readiness_endpoint, std::move(message),
+                                loop::after(readiness_every), readiness_every);
         one.ready = outcome.fault == loop::exchange_fault::none && outcome.answer.status == 200;
         co_await loop::pause_for(self.io, readiness_every);
     }
@@ -279,12 +280,12 @@
     }
     front::service engine;
     engine.name = engines;
-    engine.connections_most = 200;
+    engine.max_connections = 200;
     engine.slots = 8;
     engine.models = self.models;
     front::service service;
     service.name = plain;
-    service.connections_most = 200;
+    service.max_connections = 200;
     const std::vector accounts{account_at(caller_account, self.configuration),
                                account_at(trainer_account, self.configuration)};
     write_configuration(*self.platform, self.configuration, route_host, routes, {engine, service},
--- a/soak/internal/play_troubles.cpp
+++ b/soak/internal/play_troubles.cpp
@@ -276,7 +276,7 @@
 loop::task<void> restart_in_order(day& self, program& host) {
     const int boot = host.boot;
     signal(host, SIGTERM);
-    const auto until = loop::after(host.settings.grace);
+    const auto until = loop::after(host.settings.grace_period);
     while (host.boot == boot && loop::steady_clock::now() < until) {
         co_await loop::pause_for(self.io, end_tick);
     }
--- a/soak/internal/traffic.cpp
+++ b/soak/internal/traffic.cpp
@@ -37,8 +37,9 @@
 /// A process is asked to end while this request is served, and nothing else goes wrong.
 bool must_be_served(const day& self, const program& host, int boot, deadline sent) {
     const bool stopping = host.term_sent != deadline{} || host.boot != boot;
-    const bool crossed = host.term_sent != deadline{} &&
-                         sent > host.term_sent + host.settings.grace - std::chrono::seconds(1);
+    const bool crossed =
+        host.term_sent != deadline{} &&
+        sent > host.term_sent + host.settings.grace_period - std::chrono::seconds(1);
     return stopping && !crossed && is_calm(self.book) && host.harmed + self.book.bounds.calm < sent;
 }
 
@@ -56,7 +57,7 @@
                                    std::string path, std::string key) {
     auto message =
         standins::with_key(standins::caller_request(id, route_host, path, time_left), key);
-    co_return co_await loop::call(pool, host.settings.callers, std::move(message),
+    co_return co_await loop::call(pool, host.settings.caller_endpoint, std::move(message),
                                   loop::after(time_left + allowance), connect_limit);
 }
 
@@ -128,7 +129,7 @@
 void judge_stream(day& self, const std::string& id, const std::string& body) {
     std::string rest = body;
     std::int64_t last = 0;
-    for (const auto& event : front::the_adapter().events(rest)) {
+    for (const auto& event : front::linked_adapter().events(rest)) {
         if (event.id != last + 1 || event.data != standins::event_text(id, event.id, 1)) {
             note_broken(self.book, "events in order", id + " at " + std::to_string(event.id));
             return;
@@ -197,7 +198,7 @@
         co_return none;
     }
     loop::connection_pool pool(self.io);
-    auto outcome = co_await loop::call(pool, host->settings.callers, std::move(message),
+    auto outcome = co_await loop::call(pool, host->settings.caller_endpoint, std::move(message),
                                        loop::after(patience), connect_limit);
     if (outcome.fault != loop::exchange_fault::none) {
         co_return none;
--- a/src/front/access.cpp
+++ b/src/front/access.cpp
@@ -22,9 +22,10 @@
 
 configuration_age_limits age_limits_of(const host_settings& settings) {
     configuration_age_limits limits;
-    limits.max_refusal_age = settings.calm + settings.in_force;
-    if (settings.revocation) {
-        limits.max_key_age = std::max(*settings.revocation - revocation_margin, milliseconds(0));
+    limits.max_refusal_age = settings.stable_window + settings.config_apply_bound;
+    if (settings.revocation_bound) {
+        limits.max_key_age =
+            std::max(*settings.revocation_bound - revocation_margin, milliseconds(0));
         limits.max_refusal_age = std::min(limits.max_refusal_age, *limits.max_key_age);
     }
     return limits;
@@ -40,12 +41,12 @@
     if (purpose == access_purpose::new_request && request_route == nullptr) {
         return refusal(access_verdict::no_route);
     }
-    if (!index.source.accounts) {
+    if (!index.config.accounts) {
         return {};
     }
     const bool keys_valid = !limits.max_key_age || age <= *limits.max_key_age;
     const auto* account = find_account(index, request_info);
-    if (request_route != nullptr && request_route->open_to_all) {
+    if (request_route != nullptr && request_route->allow_anonymous) {
         const bool account_valid = account != nullptr && keys_valid;
         return {access_verdict::granted, account_valid ? *account : std::string()};
     }
--- a/src/front/adapter.hpp
+++ b/src/front/adapter.hpp
@@ -25,7 +25,7 @@
 
 struct object_page {
     std::vector<stored_object> items;
-    bool more = false;
+    bool has_more = false;
     std::uint64_t at = 0; ///< Store revision of the page.
 };
 
@@ -51,7 +51,7 @@
 /// A caller's call on an existing batch.
 struct batch_call {
     enum class verb { read_results, read_item, end };
-    verb what = verb::read_results;
+    verb operation = verb::read_results;
     std::string batch;
     std::string item;         ///< For `read_item`.
     std::size_t position = 0; ///< For `read_results`: first position to return.
@@ -60,7 +60,7 @@
 };
 
 /// What is added to a request when it is forwarded to a target.
-struct forward_terms {
+struct forward_options {
     std::string target_id; ///< Another target at that address refuses the request.
     std::optional<milliseconds> time_left;
     std::int64_t resume_after = 0; ///< Event after which the target resumes; 0: from the start.
@@ -74,7 +74,7 @@
     enum class mode { wait, truncate, keep };
     std::string model;
     int version = 0;
-    mode runs = mode::keep; ///< What happens to running requests.
+    mode running_requests = mode::keep; ///< What happens to running requests.
     std::string holder;
     std::uint64_t fence = 0;
     std::int64_t expected_orders = 0; ///< Orders that the target must have accepted so far.
@@ -82,7 +82,7 @@
 
 enum class order_outcome {
     accepted,
-    holds_already,
+    already_loaded,
     busy_or_changed,
     fenced,
     invalid,
@@ -134,7 +134,7 @@
     // Stored objects of operators, targets and trainers.
     kernel::result<configuration> (*configuration_of)(const nlohmann::json& specification);
     kernel::result<target_entry> (*target)(const stored_object& object);
-    kernel::result<named_version> (*version)(const nlohmann::json& specification);
+    kernel::result<published_version> (*version)(const nlohmann::json& specification);
     std::string (*retirement_done)();
 
     // Requests of callers and their answers.
@@ -149,10 +149,10 @@
 
     // Requests to targets and their answers.
     transport::http_request (*forward)(const transport::http_request& message,
-                                       const forward_terms& options);
+                                       const forward_options& options);
     transport::http_request (*item)(const batch_item& item, std::string_view host,
-                                    const forward_terms& options);
-    transport::http_request (*scoring)(const scoring_call& scoring, const forward_terms& options);
+                                    const forward_options& options);
+    transport::http_request (*scoring)(const scoring_call& scoring, const forward_options& options);
     target_answer (*answer)(const std::vector<transport::http_header>& headers);
     /// Selects the headers of a target's answer that are forwarded to the caller.
     std::vector<transport::http_header> (*answer_headers)(
@@ -170,6 +170,6 @@
 };
 
 /// Returns the linked adapter. Exits with an error message if there is none.
-[[nodiscard]] const adapter& the_adapter();
+[[nodiscard]] const adapter& linked_adapter();
 
 } // namespace cornelloom::front
--- a/src/front/answers.cpp
+++ b/src/front/answers.cpp
@@ -22,8 +22,8 @@
                         std::string_view reason, milliseconds retry_delay) {
     constexpr int status = 503;
     count_refusal(self, reason, "not_run");
-    note(self, request_refused, {{"id", id}, {"why", reason}, {"status", status}});
-    transport::http_response answer{status, {self.wire.retry_after(retry_delay)}, {}};
+    log_event(self, request_refused, {{"id", id}, {"why", reason}, {"status", status}});
+    transport::http_response answer{status, {self.platform_adapter.retry_after(retry_delay)}, {}};
     co_await request.answer(std::move(answer));
 }
 
@@ -31,14 +31,14 @@
                       std::string_view reason, bool deadline_passed) {
     const int status = deadline_passed ? 504 : 502;
     count_refusal(self, reason, "unknown");
-    note(self, request_failed, {{"id", id}, {"why", reason}, {"status", status}});
+    log_event(self, request_failed, {{"id", id}, {"why", reason}, {"status", status}});
     co_await answer_status(request, status);
 }
 
 loop::task<void> reject(host& self, loop::served_request& request, std::string_view id,
                         std::string_view reason, int status) {
     count_refusal(self, reason, "not_run");
-    note(self, request_refused, {{"id", id}, {"why", reason}, {"status", status}});
+    log_event(self, request_refused, {{"id", id}, {"why", reason}, {"status", status}});
     co_await answer_status(request, status);
 }
 
--- a/src/front/answers.hpp
+++ b/src/front/answers.hpp
@@ -23,8 +23,8 @@
                         std::string_view reason, int status);
 
 /// Retry delay when no target was free: the duration of a typical plain request.
-inline constexpr milliseconds come_back_soon{100};
+inline constexpr milliseconds no_target_retry_delay{100};
 /// Retry delay when this host has no current configuration or can't reach the store.
-inline constexpr milliseconds come_back_later{300};
+inline constexpr milliseconds unavailable_retry_delay{300};
 
 } // namespace cornelloom::front
--- a/src/front/batch.cpp
+++ b/src/front/batch.cpp
@@ -19,42 +19,43 @@
         ++unfinished_items[item.group];
     }
     const auto count_result = [&](const item_result& result) {
-        const auto found = batch.index.find(result.id);
-        if (found != batch.index.end()) {
+        const auto found = batch.index_by_id.find(result.id);
+        if (found != batch.index_by_id.end()) {
             --unfinished_items[batch.spec.items[found->second].group];
         }
     };
-    std::ranges::for_each(batch.listed, count_result);
+    std::ranges::for_each(batch.logged_results, count_result);
     if (include_unlogged) {
-        std::ranges::for_each(batch.waiting, count_result);
+        std::ranges::for_each(batch.unlogged_results, count_result);
     }
     return static_cast<int>(std::ranges::count_if(
         unfinished_items, [](const auto& group) { return group.second == 0; }));
 }
 
 void add_result(batch& batch, const item_result& result) {
-    const auto found = batch.index.find(result.id);
+    const auto found = batch.index_by_id.find(result.id);
     const auto has_same_id = [&](const item_result& other) { return other.id == result.id; };
-    if (found == batch.index.end() || std::ranges::any_of(batch.listed, has_same_id)) {
+    if (found == batch.index_by_id.end() ||
+        std::ranges::any_of(batch.logged_results, has_same_id)) {
         return;
     }
     auto& item = batch.items[found->second];
     item.phase = item_phase::finished;
-    item.done = {};
-    std::erase_if(batch.waiting, has_same_id);
-    batch.listed.push_back(result);
+    item.output = {};
+    std::erase_if(batch.unlogged_results, has_same_id);
+    batch.logged_results.push_back(result);
 }
 
 void apply_partial(batch& batch, std::string_view id, const partial_text& partial) {
-    const auto found = batch.index.find(id);
-    if (found == batch.index.end()) {
+    const auto found = batch.index_by_id.find(id);
+    if (found == batch.index_by_id.end()) {
         return;
     }
     auto& item = batch.items[found->second];
     item.last_logged_event = std::max(item.last_logged_event, partial.last_event);
-    const bool is_newer = partial.whole || partial.last_event > item.done.last_event;
+    const bool is_newer = partial.whole || partial.last_event > item.output.last_event;
     if (item.phase == item_phase::waiting && is_newer) {
-        item.done = partial;
+        item.output = partial;
     }
 }
 
@@ -67,7 +68,7 @@
     out.submitted = submitted;
     out.items.resize(out.spec.items.size());
     for (std::size_t index = 0; index < out.spec.items.size(); ++index) {
-        out.index.emplace(out.spec.items[index].id, index);
+        out.index_by_id.emplace(out.spec.items[index].id, index);
     }
     return out;
 }
@@ -81,11 +82,11 @@
 }
 
 bool is_over(const batch& batch) {
-    return batch.ended || batch.listed.size() == batch.spec.items.size();
+    return batch.ended || batch.logged_results.size() == batch.spec.items.size();
 }
 
 bool apply_entry(batch& batch, std::uint64_t number, const log_entry& entry) {
-    if (number != batch.next_entry) {
+    if (number != batch.next_entry_number) {
         return false;
     }
     std::ranges::for_each(entry.results,
@@ -98,33 +99,34 @@
         batch.header.owner = entry.new_owner;
         batch.header.owner_at = entry.new_owner_at;
     }
-    ++batch.next_entry;
+    ++batch.next_entry_number;
     return true;
 }
 
 void finish_item(batch& batch, item_result result, time_point now) {
-    const auto found = batch.index.find(result.id);
+    const auto found = batch.index_by_id.find(result.id);
     auto& item = batch.items[found->second];
     item.phase = item_phase::finished;
-    item.done = {};
-    if (batch.waiting.empty()) {
+    item.output = {};
+    if (batch.unlogged_results.empty()) {
         batch.oldest_unlogged_since = now;
     }
-    batch.waiting.push_back(std::move(result));
+    batch.unlogged_results.push_back(std::move(result));
 }
 
-int complete_groups(const batch& batch, bool include_unlogged) {
+int count_complete_groups(const batch& batch, bool include_unlogged) {
     return count_groups(batch, include_unlogged);
 }
 
-std::optional<time_point> next_flush(const batch& batch, const flush_rules& policy,
-                                     time_point deadline) {
-    if (batch.waiting.empty()) {
+std::optional<time_point> next_flush_time(const batch& batch, const flush_policy& policy,
+                                          time_point deadline) {
+    if (batch.unlogged_results.empty()) {
         return std::nullopt;
     }
-    const auto complete = complete_groups(batch, true);
-    const bool step_done = complete >= batch.spec.groups_wanted;
-    const bool all_done = batch.listed.size() + batch.waiting.size() == batch.spec.items.size();
+    const auto complete = count_complete_groups(batch, true);
+    const bool step_done = complete >= batch.spec.required_groups;
+    const bool all_done =
+        batch.logged_results.size() + batch.unlogged_results.size() == batch.spec.items.size();
     const auto earliest = batch.last_flush + policy.urgent_interval;
     if (step_done || all_done) {
         return earliest;
@@ -140,23 +142,23 @@
     std::size_t bytes = 0;
     for (std::size_t index = 0; index < batch.items.size(); ++index) {
         const auto& item = batch.items[index];
-        const bool has_grown = item.done.last_event - item.last_logged_event >= min_events;
-        if (item.phase == item_phase::finished || item.done.last_event == 0 ||
-            !(has_grown || item.done.whole)) {
+        const bool has_grown = item.output.last_event - item.last_logged_event >= min_events;
+        if (item.phase == item_phase::finished || item.output.last_event == 0 ||
+            !(has_grown || item.output.whole)) {
             continue;
         }
-        bytes += item.done.text.size() + record_overhead_bytes;
+        bytes += item.output.text.size() + record_overhead_bytes;
         if (bytes > max_bytes / 4) {
             break;
         }
-        entry.partials.insert_or_assign(batch.spec.items[index].id, item.done);
+        entry.partials.insert_or_assign(batch.spec.items[index].id, item.output);
     }
 }
 
-log_entry next_entry(const batch& batch, std::size_t max_bytes) {
+log_entry make_next_entry(const batch& batch, std::size_t max_bytes) {
     log_entry out;
     std::size_t bytes = 0;
-    for (const auto& result : batch.waiting) {
+    for (const auto& result : batch.unlogged_results) {
         bytes += result.text.size() + result.score.size() + record_overhead_bytes;
         if (bytes > max_bytes / 2 && !out.results.empty()) {
             break;
@@ -168,13 +170,13 @@
 }
 
 double expected_tokens(const batch_item& item) {
-    if (item.tokens_out_hint > 0) {
-        return item.tokens_out_hint;
+    if (item.expected_output_tokens > 0) {
+        return item.expected_output_tokens;
     }
-    return item.tokens_out_most > 0 ? item.tokens_out_most : default_expected_tokens;
+    return item.max_output_tokens > 0 ? item.max_output_tokens : default_expected_tokens;
 }
 
-std::vector<std::size_t> startable(const batch& batch, time_point now) {
+std::vector<std::size_t> startable_items(const batch& batch, time_point now) {
     std::vector<std::size_t> out;
     for (std::size_t index = 0; index < batch.items.size(); ++index) {
         if (batch.items[index].phase == item_phase::waiting &&
@@ -183,7 +185,7 @@
         }
     }
     const auto priority = [&](std::size_t index) {
-        return std::pair(batch.items[index].done.last_event > 0,
+        return std::pair(batch.items[index].output.last_event > 0,
                          expected_tokens(batch.spec.items[index]));
     };
     std::ranges::stable_sort(out, std::greater{}, priority);
--- a/src/front/batch.hpp
+++ b/src/front/batch.hpp
@@ -26,13 +26,13 @@
 
 struct item_state {
     item_phase phase = item_phase::waiting;
-    partial_text done;
+    partial_text output;
     std::int64_t last_logged_event = 0; ///< The last event that the batch's log contains.
     int failures = 0;                   ///< Failed attempts, counted as the platform does.
     time_point not_before{};            ///< No new attempt is made earlier.
     std::string last_target;            ///< The target of the latest attempt.
-    bool moved_late = false;            ///< Moved to another target, once, to meet the deadline.
-    time_point passed_over{}; ///< Since when it waits for a faster target; zero: it does not.
+    bool moved_for_deadline = false;    ///< Moved to another target, once, to meet the deadline.
+    time_point deferred_since{}; ///< Since when it waits for a faster target; zero: it does not.
 };
 
 /// One entry of a batch's log.
@@ -79,11 +79,12 @@
 struct batch {
     batch_header header;
     batch_spec spec;
-    std::map<std::string, std::size_t, std::less<>> index; ///< Position in `items`, by item id.
+    std::map<std::string, std::size_t, std::less<>>
+        index_by_id; ///< Position in `items`, by item id.
     std::vector<item_state> items;
-    std::vector<item_result> listed;  ///< Stored in the log; their positions never change.
-    std::vector<item_result> waiting; ///< Finished, but not in the log yet.
-    std::uint64_t next_entry = 0;     ///< Number of the next entry of the log.
+    std::vector<item_result> logged_results;   ///< Stored in the log; their positions never change.
+    std::vector<item_result> unlogged_results; ///< Finished, but not in the log yet.
+    std::uint64_t next_entry_number = 0;       ///< Number of the next entry of the log.
     bool ended = false;
     time_point submitted{};
     time_point oldest_unlogged_since{}; ///< When the first result that is not in the log finished.
@@ -109,10 +110,10 @@
 
 /// Number of groups whose items all have results in the log. With `include_unlogged`, finished
 /// results that are not in the log yet count, too.
-[[nodiscard]] int complete_groups(const batch& batch, bool include_unlogged);
+[[nodiscard]] int count_complete_groups(const batch& batch, bool include_unlogged);
 
 /// Intervals between writes of the log.
-struct flush_rules {
+struct flush_policy {
     milliseconds urgent_interval{60};   ///< While a caller waits for these very results.
     milliseconds normal_interval{1200}; ///< Otherwise; a crash of this host repeats this much work.
     milliseconds deadline_margin{300};  ///< Before the deadline, in which all results are urgent.
@@ -125,8 +126,8 @@
 /// all results of about a second. Results are written as soon as `urgent_interval` allows once the
 /// wanted groups are complete or the deadline is near, but not earlier: a caller that is woken by
 /// each of the last results is not waiting when the very last one arrives.
-[[nodiscard]] std::optional<time_point> next_flush(const batch& batch, const flush_rules& policy,
-                                                   time_point deadline);
+[[nodiscard]] std::optional<time_point>
+next_flush_time(const batch& batch, const flush_policy& policy, time_point deadline);
 
 /// Partial output is written to the log when it has grown by this many events since the last time.
 inline constexpr std::int64_t min_events_to_save = 12;
@@ -138,7 +139,7 @@
 /// items once made no progress because of one such entry. Results therefore take at most half of
 /// `max_bytes` and partial output a quarter, which leaves room for JSON escaping, by which a text
 /// may grow by a third. The rest goes into the next entry.
-[[nodiscard]] log_entry next_entry(const batch& batch, std::size_t max_bytes);
+[[nodiscard]] log_entry make_next_entry(const batch& batch, std::size_t max_bytes);
 
 /// Adds the output of runs that has grown by at least `min_events` events since it was last written
 /// to the log. Adds at most a quarter of `max_bytes`.
@@ -150,7 +151,7 @@
 ///
 /// All items of a batch arrive at once, and about a tenth of them run five times as long as the
 /// rest. A single long item that starts late makes the whole step late.
-[[nodiscard]] std::vector<std::size_t> startable(const batch& batch, time_point now);
+[[nodiscard]] std::vector<std::size_t> startable_items(const batch& batch, time_point now);
 
 /// Number of tokens that the item is expected to generate.
 [[nodiscard]] double expected_tokens(const batch_item& item);
--- a/src/front/batch_desk.cpp
+++ b/src/front/batch_desk.cpp
@@ -19,7 +19,7 @@
 constexpr std::chrono::seconds max_unused_age{120};
 
 bool is_owner_in_log(const live_batch& batch) {
-    return batch.state.header.owner == batch.self->settings.host;
+    return batch.state.header.owner == batch.local_host->settings.host;
 }
 
 loop::task<void> answer_json(loop::served_request& request, std::string body) {
@@ -30,23 +30,24 @@
 /// Answers a read of results from memory, after waiting for new ones if the caller asked for that.
 loop::task<void> answer_results(live_batch_ptr batch, loop::served_request& request,
                                 batch_call call) {
-    auto self = batch->self;
+    auto self = batch->local_host;
     const auto deadline = self->now() + call.wait;
-    if (is_outdated(batch->state.listed.size(), call.position)) {
+    if (is_outdated(batch->state.logged_results.size(), call.position)) {
         co_await catch_up(batch);
     }
-    while (batch->state.listed.size() <= call.position && !is_over(batch->state) && batch->owned &&
-           self->now() < deadline && !request.gone()) {
+    while (batch->state.logged_results.size() <= call.position && !is_over(batch->state) &&
+           batch->owned && self->now() < deadline && !request.gone()) {
         co_await batch->changed.wait(to_deadline(*self, deadline));
     }
-    co_await answer_json(request, self->wire.results(batch->state.spec.items.size(), call.position,
-                                                     batch->state.listed));
+    co_await answer_json(request, self->platform_adapter.results(batch->state.spec.items.size(),
+                                                                 call.position,
+                                                                 batch->state.logged_results));
 }
 
 loop::task<void> answer_item_body(live_batch_ptr batch, loop::served_request& request,
                                   std::string item_id) {
-    const auto found = batch->state.index.find(item_id);
-    if (found == batch->state.index.end() || batch->state.ended) {
+    const auto found = batch->state.index_by_id.find(item_id);
+    if (found == batch->state.index_by_id.end() || batch->state.ended) {
         co_await answer_status(request, 404);
         co_return;
     }
@@ -55,9 +56,10 @@
 }
 
 loop::task<void> answer_end(live_batch_ptr batch, loop::served_request& request) {
-    auto self = batch->self;
+    auto self = batch->local_host;
     if (!batch->stored) {
-        co_await refuse(*self, request, batch->state.header.id, "not_stored_yet", come_back_soon);
+        co_await refuse(*self, request, batch->state.header.id, "not_stored_yet",
+                        no_target_retry_delay);
         co_return;
     }
     bool is_ended = batch->state.ended;
@@ -66,9 +68,10 @@
             if (current.state.ended) {
                 return std::nullopt;
             }
-            auto entry = current.owned
-                             ? next_entry(current.state, current.self->settings.value_bytes)
-                             : log_entry{};
+            auto entry =
+                current.owned
+                    ? make_next_entry(current.state, current.local_host->settings.max_value_bytes)
+                    : log_entry{};
             entry.partials.clear();
             entry.ends = true;
             return entry;
@@ -86,12 +89,12 @@
 }
 
 loop::task<void> answer_call(live_batch_ptr batch, loop::served_request& request, batch_call call) {
-    batch->used = batch->self->now();
+    batch->last_used = batch->local_host->now();
     if (!is_visible(batch->state.header, call.account)) {
         co_await answer_status(request, 404);
         co_return;
     }
-    switch (call.what) {
+    switch (call.operation) {
     case batch_call::verb::read_results:
         co_await answer_results(batch, request, call);
         break;
@@ -106,7 +109,7 @@
 
 /// Serves a call that a peer has forwarded, but only if this host owns the batch or the batch is
 /// over.
-loop::task<void> serve_forwarded(std::shared_ptr<batch_desk> registry,
+loop::task<void> serve_forwarded(std::shared_ptr<batch_registry> registry,
                                  loop::served_request& request, batch_call call) {
     auto loaded = co_await get_batch(registry, call.batch);
     if (!loaded.batch) {
@@ -122,16 +125,16 @@
         }
     }
     if (!batch->owned && !is_over(batch->state)) {
-        co_await answer_status(request, status_other_owner);
+        co_await answer_status(request, status_not_owner);
         co_return;
     }
-    call.wait = std::min(call.wait, passed_wait);
+    call.wait = std::min(call.wait, max_forwarded_wait);
     co_await answer_call(batch, request, call);
 }
 
 } // namespace
 
-transport::http_request peer_call(std::string_view path, const std::string& id) {
+transport::http_request make_peer_request(std::string_view path, const std::string& id) {
     transport::http_request peer_request;
     peer_request.method = "POST";
     peer_request.path = path;
@@ -140,10 +143,10 @@
     return peer_request;
 }
 
-loop::task<loaded_batch> get_batch(std::shared_ptr<batch_desk> registry, std::string id) {
+loop::task<loaded_batch> get_batch(std::shared_ptr<batch_registry> registry, std::string id) {
     for (;;) {
-        const auto known_batch = registry->known.find(id);
-        if (known_batch != registry->known.end()) {
+        const auto known_batch = registry->batches.find(id);
+        if (known_batch != registry->batches.end()) {
             co_return loaded_batch{known_batch->second, false};
         }
         const auto pending = registry->loading.find(id);
@@ -151,14 +154,14 @@
             break;
         }
         const auto gate = pending->second;
-        co_await gate->wait(loop::after(store_call_limit));
+        co_await gate->wait(loop::after(store_call_timeout));
     }
     auto gate = std::make_shared<loop::gate>(registry->self->io);
     registry->loading.emplace(id, gate);
     auto loaded = co_await load_batch(registry->self, id);
     if (loaded.batch) {
-        loaded.batch->used = registry->self->now();
-        registry->known.emplace(id, loaded.batch);
+        loaded.batch->last_used = registry->self->now();
+        registry->batches.emplace(id, loaded.batch);
     }
     registry->loading.erase(id);
     gate->open();
@@ -169,20 +172,20 @@
     if (batch->owned || is_over(batch->state)) {
         co_return;
     }
-    auto self = batch->self;
+    auto self = batch->local_host;
     const auto previous_owner = batch->state.header.owner;
-    const auto known_entries = batch->state.next_entry;
+    const auto known_entries = batch->state.next_entry_number;
     if (!is_owner_in_log(*batch)) {
         const auto build_entry = [self, previous_owner, known_entries](
                                      const live_batch& current) -> std::optional<log_entry> {
-            const bool owner_changed = current.state.next_entry != known_entries &&
+            const bool owner_changed = current.state.next_entry_number != known_entries &&
                                        current.state.header.owner != previous_owner;
             if (owner_changed || is_over(current.state)) {
                 return std::nullopt;
             }
             log_entry entry;
             entry.new_owner = self->settings.host;
-            entry.new_owner_at = self->settings.peers;
+            entry.new_owner_at = self->settings.peer_endpoint;
             return entry;
         };
         const bool stored =
@@ -192,7 +195,7 @@
         }
     }
     if (is_owner_in_log(*batch) && !is_over(batch->state)) {
-        start_driving(batch, previous_owner, reason);
+        start_running(batch, previous_owner, reason);
     }
 }
 
@@ -200,20 +203,21 @@
 
 /// Forwards the call to the announced owner, then to the one in the stored header. Returns false if
 /// neither serves it.
-loop::task<bool> forward_to_owner(std::shared_ptr<batch_desk> registry,
+loop::task<bool> forward_to_owner(std::shared_ptr<batch_registry> registry,
                                   loop::served_request& request, const batch_call& call,
-                                  call_tries& tries) {
+                                  forwarding_attempts& tries) {
     auto self = registry->self;
     std::optional<transport::endpoint> announced_owner;
     if (const auto announcement = registry->owners.find(call.batch);
         announcement != registry->owners.end()) {
         announced_owner = announcement->second;
-        const bool served = co_await try_owner(registry, request, call, *announced_owner, tries);
+        const bool served =
+            co_await forward_to_host(registry, request, call, *announced_owner, tries);
         if (served) {
             co_return true;
         }
     }
-    if (registry->known.contains(call.batch) || registry->loading.contains(call.batch)) {
+    if (registry->batches.contains(call.batch) || registry->loading.contains(call.batch)) {
         co_return false;
     }
     // The owner answers for most batches of other hosts, and loading a batch costs many calls. So
@@ -227,14 +231,15 @@
         header_read.header->owner_at == announced_owner) {
         co_return false;
     }
-    co_return co_await try_owner(registry, request, call, header_read.header->owner_at, tries);
+    co_return co_await forward_to_host(registry, request, call, header_read.header->owner_at,
+                                       tries);
 }
 
 /// Serves a call after loading the batch from the store. Takes the batch over if results are read
 /// and its owner does not answer.
-loop::task<void> serve_from_store(std::shared_ptr<batch_desk> registry,
+loop::task<void> serve_from_store(std::shared_ptr<batch_registry> registry,
                                   loop::served_request& request, const batch_call& call,
-                                  call_tries& tries) {
+                                  forwarding_attempts& tries) {
     auto self = registry->self;
     const auto requested_at = self->now();
     auto loaded = co_await get_batch(registry, call.batch);
@@ -247,7 +252,8 @@
         caught_up = co_await catch_up(loaded.batch);
     }
     if (!caught_up) {
-        co_await refuse(*self, request, call.batch, "platform_unavailable", come_back_later);
+        co_await refuse(*self, request, call.batch, "platform_unavailable",
+                        unavailable_retry_delay);
         co_return;
     }
     auto batch = loaded.batch;
@@ -255,21 +261,23 @@
         // An owner that did not answer may have been restarting. It loses less work than a new
         // owner.
         const bool served =
-            co_await try_owner(registry, request, call, batch->state.header.owner_at, tries);
+            co_await forward_to_host(registry, request, call, batch->state.header.owner_at, tries);
         if (served) {
             co_return;
         }
     }
-    if (call.what == batch_call::verb::read_results) {
+    if (call.operation == batch_call::verb::read_results) {
         co_await take_over(batch, "owner did not answer");
     }
     co_await answer_call(batch, request, call);
 }
 
-loop::task<void> serve_caller(std::shared_ptr<batch_desk> registry, loop::served_request& request,
-                              const batch_call& call, call_tries& tries) {
-    const auto known = registry->known.find(call.batch);
-    if (known != registry->known.end() && (known->second->owned || is_over(known->second->state))) {
+loop::task<void> serve_caller(std::shared_ptr<batch_registry> registry,
+                              loop::served_request& request, const batch_call& call,
+                              forwarding_attempts& tries) {
+    const auto known = registry->batches.find(call.batch);
+    if (known != registry->batches.end() &&
+        (known->second->owned || is_over(known->second->state))) {
         co_await answer_call(known->second, request, call);
         co_return;
     }
@@ -293,7 +301,7 @@
 
 } // namespace
 
-loop::task<void> serve_batch_call(std::shared_ptr<batch_desk> registry,
+loop::task<void> serve_batch_call(std::shared_ptr<batch_registry> registry,
                                   loop::served_request& request, batch_call call, bool by_peer) {
     auto self = registry->self;
     if (by_peer) {
@@ -301,34 +309,35 @@
         co_return;
     }
     const auto received = self->now();
-    call_tries tries;
+    forwarding_attempts tries;
     co_await serve_caller(registry, request, call, tries);
     if (request.gone()) {
-        note(*self, batch_caller_left,
-             {{"id", call.batch},
-              {"what", to_string(call.what)},
-              {"position", static_cast<std::uint64_t>(call.position)},
-              {"owners_asked", tries.owners_asked},
-              {"wait_ms", call.wait.count()},
-              {"ms", ms_between(received, self->now())}});
+        log_event(*self, batch_caller_left,
+                  {{"id", call.batch},
+                   {"what", to_string(call.operation)},
+                   {"position", static_cast<std::uint64_t>(call.position)},
+                   {"owners_asked", tries.owners_asked},
+                   {"wait_ms", call.wait.count()},
+                   {"ms", ms_between(received, self->now())}});
     }
 }
 
-loop::task<void> adopt_batch(std::shared_ptr<batch_desk> registry, std::string id) {
+loop::task<void> adopt_batch(std::shared_ptr<batch_registry> registry, std::string id) {
     auto loaded = co_await get_batch(registry, id);
     if (!loaded.batch) {
         co_return;
     }
     const bool caught_up = co_await catch_up(loaded.batch);
     if (caught_up && is_owner_in_log(*loaded.batch)) {
-        loaded.batch->used = registry->self->now();
+        loaded.batch->last_used = registry->self->now();
         co_await take_over(loaded.batch, "handed over");
     }
 }
 
-std::map<std::string, std::uint64_t, std::less<>> items_in_work(const batch_desk& registry) {
+std::map<std::string, std::uint64_t, std::less<>>
+count_unfinished_items(const batch_registry& registry) {
     std::map<std::string, std::uint64_t, std::less<>> counts;
-    for (const auto& [id, batch] : registry.known) {
+    for (const auto& [id, batch] : registry.batches) {
         if (!batch->owned || is_over(batch->state)) {
             continue;
         }
@@ -341,14 +350,14 @@
     return counts;
 }
 
-void note_owner(batch_desk& registry, std::string id, transport::endpoint owner) {
+void record_owner(batch_registry& registry, std::string id, transport::endpoint owner) {
     registry.owners.insert_or_assign(std::move(id), std::move(owner));
 }
 
-void forget_unused(batch_desk& registry) {
+void evict_unused(batch_registry& registry) {
     const auto now = registry.self->now();
-    std::erase_if(registry.known, [now](const auto& entry) {
-        return !entry.second->owned && now - entry.second->used > max_unused_age;
+    std::erase_if(registry.batches, [now](const auto& entry) {
+        return !entry.second->owned && now - entry.second->last_used > max_unused_age;
     });
 }
 
--- a/src/front/batch_hand_over.cpp
+++ b/src/front/batch_hand_over.cpp
@@ -27,24 +27,24 @@
         return std::nullopt;
     }
     std::ranges::shuffle(candidates, self.random);
-    return *std::ranges::max_element(candidates, {}, &host_entry::processor);
+    return *std::ranges::max_element(candidates, {}, &host_entry::cpu_share);
 }
 
-loop::task<void> hand_over(std::shared_ptr<batch_desk> registry, live_batch_ptr batch) {
+loop::task<void> hand_over(std::shared_ptr<batch_registry> registry, live_batch_ptr batch) {
     auto self = registry->self;
     const auto successor = choose_new_owner(*self);
     if (!successor) {
         co_return;
     }
-    auto adopt_request = peer_call(adopt_path, batch->state.header.id);
+    auto adopt_request = make_peer_request(adopt_path, batch->state.header.id);
     const auto build_entry = [successor](const live_batch& current) -> std::optional<log_entry> {
         if (!current.owned) {
             return std::nullopt;
         }
-        auto entry = next_entry(current.state, current.self->settings.value_bytes);
-        add_partials(entry, current.state, 1, current.self->settings.value_bytes);
+        auto entry = make_next_entry(current.state, current.local_host->settings.max_value_bytes);
+        add_partials(entry, current.state, 1, current.local_host->settings.max_value_bytes);
         entry.new_owner = successor->name;
-        entry.new_owner_at = successor->where;
+        entry.new_owner_at = successor->address;
         return entry;
     };
     // Stop the runs first: items must not run here after the new owner has started them.
@@ -55,16 +55,16 @@
     if (!stored) {
         co_return;
     }
-    registry->owners.insert_or_assign(batch->state.header.id, successor->where);
-    co_await loop::call(self->connections, successor->where, std::move(adopt_request),
-                        loop::after(hand_over_timeout), owner_connect);
+    registry->owners.insert_or_assign(batch->state.header.id, successor->address);
+    co_await loop::call(self->connections, successor->address, std::move(adopt_request),
+                        loop::after(hand_over_timeout), owner_connect_timeout);
 }
 
 } // namespace
 
-void hand_over_all(const std::shared_ptr<batch_desk>& registry) {
+void hand_over_all_batches(const std::shared_ptr<batch_registry>& registry) {
     drop_unstored(*registry);
-    for (const auto& [id, batch] : registry->known) {
+    for (const auto& [id, batch] : registry->batches) {
         if (batch->owned && !is_over(batch->state)) {
             loop::asio::co_spawn(registry->self->io, hand_over(registry, batch),
                                  loop::asio::detached);
--- a/src/front/batch_log.cpp
+++ b/src/front/batch_log.cpp
@@ -20,33 +20,34 @@
 
 /// Creates an object whose name determines its content. `conflict` may therefore mean that an
 /// earlier attempt whose response was lost has created it.
-loop::task<store_fault> create_idempotently(std::shared_ptr<host> self, object_kind kind,
-                                            std::string name, std::string value,
-                                            time_point deadline) {
-    store_fault last_fault = store_fault::refused;
+loop::task<store_outcome> create_idempotently(std::shared_ptr<host> self, object_kind kind,
+                                              std::string name, std::string value,
+                                              time_point deadline) {
+    store_outcome last_fault = store_outcome::refused;
     bool may_exist = false;
     do {
-        auto answer = co_await call_store(self->store, self->wire.create(kind, name, value));
+        auto answer =
+            co_await call_store(self->store, self->platform_adapter.create(kind, name, value));
         last_fault = answer.fault;
-        if (last_fault != store_fault::refused && last_fault != store_fault::unknown) {
+        if (last_fault != store_outcome::refused && last_fault != store_outcome::unknown) {
             co_return last_fault;
         }
-        may_exist = may_exist || last_fault == store_fault::unknown;
-        co_await loop::pause_for(self->io, store_pause(*self, store_pause_awaited));
+        may_exist = may_exist || last_fault == store_outcome::unknown;
+        co_await loop::pause_for(self->io, store_retry_delay(*self, max_awaited_store_delay));
     } while (self->now() < deadline);
-    co_return may_exist ? store_fault::unknown : last_fault;
+    co_return may_exist ? store_outcome::unknown : last_fault;
 }
 
 /// Reads one part of a submission; nothing if it could not be read or is damaged.
 loop::task<std::optional<std::string>> read_part(std::shared_ptr<host> self, std::string name) {
-    auto answer =
-        co_await call_store(self->store, self->wire.get(object_kind::batch_parts, name, false));
-    if (answer.fault != store_fault::none) {
+    auto answer = co_await call_store(
+        self->store, self->platform_adapter.get(object_kind::batch_parts, name, false));
+    if (answer.fault != store_outcome::none) {
         co_return std::nullopt;
     }
-    const auto object = self->wire.object(answer.body);
+    const auto object = self->platform_adapter.object(answer.body);
     if (!object || !object.value().specification.is_string()) {
-        note(*self, object_unreadable, {{"kind", "batch_parts"}, {"id", name}});
+        log_event(*self, object_unreadable, {{"kind", "batch_parts"}, {"id", name}});
         co_return std::nullopt;
     }
     co_return object.value().specification.get<std::string>();
@@ -72,24 +73,24 @@
 
 std::optional<log_entry> decode_log_object(host& self, std::string_view name,
                                            std::string_view body) {
-    const auto object = self.wire.object(body);
+    const auto object = self.platform_adapter.object(body);
     if (object) {
         auto entry = decode_entry(object.value().specification);
         if (entry) {
             return std::move(entry.value());
         }
     }
-    note(self, object_unreadable, {{"kind", "batch_log"}, {"id", name}});
+    log_event(self, object_unreadable, {{"kind", "batch_log"}, {"id", name}});
     return std::nullopt;
 }
 
 loop::task<read_entry_result> read_entry(std::shared_ptr<host> self, std::string name) {
-    auto answer =
-        co_await call_store(self->store, self->wire.get(object_kind::batch_log, name, false));
+    auto answer = co_await call_store(
+        self->store, self->platform_adapter.get(object_kind::batch_log, name, false));
     read_entry_result out;
-    if (answer.fault == store_fault::not_found) {
+    if (answer.fault == store_outcome::not_found) {
         out.status = log_read_status::end;
-    } else if (answer.fault == store_fault::none) {
+    } else if (answer.fault == store_outcome::none) {
         auto entry = decode_log_object(*self, name, answer.body);
         out.status = entry ? log_read_status::entry : log_read_status::unreadable;
         out.entry = entry.value_or(log_entry{});
@@ -106,13 +107,13 @@
     if (!apply_entry(batch.state, number, entry)) {
         return;
     }
-    const auto& own = batch.self->settings.host;
+    const auto& own = batch.local_host->settings.host;
     if (batch.owned && batch.state.header.owner != own) {
         batch.owned = false;
-        note(*batch.self, batch_left,
-             {{"id", batch.state.header.id},
-              {"owner", batch.state.header.owner},
-              {"entry", batch.state.next_entry}});
+        log_event(*batch.local_host, batch_left,
+                  {{"id", batch.state.header.id},
+                   {"owner", batch.state.header.owner},
+                   {"entry", batch.state.next_entry_number}});
     }
     batch.changed.open();
 }
@@ -124,13 +125,13 @@
 }
 
 void report_append(live_batch& batch, std::uint64_t number, const log_entry& entry) {
-    note(*batch.self, log_written,
-         {{"id", batch.state.header.id},
-          {"entry", number},
-          {"results", static_cast<std::uint64_t>(entry.results.size())},
-          {"partials", static_cast<std::uint64_t>(entry.partials.size())},
-          {"ends", entry.ends},
-          {"new_owner", entry.new_owner}});
+    log_event(*batch.local_host, log_written,
+              {{"id", batch.state.header.id},
+               {"entry", number},
+               {"results", static_cast<std::uint64_t>(entry.results.size())},
+               {"partials", static_cast<std::uint64_t>(entry.partials.size())},
+               {"ends", entry.ends},
+               {"new_owner", entry.new_owner}});
 }
 
 /// Outcome of writing an entry.
@@ -142,21 +143,21 @@
 
 /// Stores the entry as the next one of the log.
 loop::task<append_outcome> store_entry(live_batch_ptr batch, log_entry entry, time_point deadline) {
-    auto self = batch->self;
-    const auto number = batch->state.next_entry;
+    auto self = batch->local_host;
+    const auto number = batch->state.next_entry_number;
     const auto name = numbered_name(batch->state.header.id, number);
     const auto value = encode_entry(entry);
     while (self->now() < deadline) {
         const auto requested_at = self->now();
-        const auto request = self->wire.create(object_kind::batch_log, name, value);
+        const auto request = self->platform_adapter.create(object_kind::batch_log, name, value);
         auto answer = co_await call_store(self->store, request);
-        if (answer.fault == store_fault::none) {
+        if (answer.fault == store_outcome::none) {
             apply_log_entry(*batch, number, entry);
             record_confirmed(*batch, requested_at);
             report_append(*batch, number, entry);
             co_return append_outcome::stored;
         }
-        if (answer.fault == store_fault::conflict) {
+        if (answer.fault == store_outcome::conflict) {
             const auto existing = decode_log_object(*self, name, answer.body);
             if (!existing) {
                 co_return append_outcome::unconfirmed;
@@ -169,27 +170,27 @@
             co_return append_outcome::stored;
         }
         batch->log.unavailable = true;
-        note(*self, log_delayed,
-             {{"id", batch->state.header.id},
-              {"entry", number},
-              {"fault", to_string(answer.fault)}});
-        co_await loop::pause_for(self->io, store_pause(*self, max_entry_delay));
+        log_event(*self, log_delayed,
+                  {{"id", batch->state.header.id},
+                   {"entry", number},
+                   {"fault", to_string(answer.fault)}});
+        co_await loop::pause_for(self->io, store_retry_delay(*self, max_entry_delay));
     }
     co_return append_outcome::unconfirmed;
 }
 
 } // namespace
 
-loop::task<store_fault> store_batch(std::shared_ptr<host> self, batch_header header,
-                                    std::string_view submission, time_point deadline) {
-    const auto pieces = split_submission(submission, self->settings.value_bytes);
+loop::task<store_outcome> store_batch(std::shared_ptr<host> self, batch_header header,
+                                      std::string_view submission, time_point deadline) {
+    const auto pieces = split_submission(submission, self->settings.max_value_bytes);
     header.parts = static_cast<int>(pieces.size());
     for (std::size_t part = 0; part < pieces.size(); ++part) {
         const auto created = co_await create_idempotently(
             self, object_kind::batch_parts, numbered_name(header.id, part), pieces[part], deadline);
-        if (created != store_fault::none && created != store_fault::conflict) {
+        if (created != store_outcome::none && created != store_outcome::conflict) {
             // Without the header the batch does not exist, even if this part was stored.
-            co_return store_fault::refused;
+            co_return store_outcome::refused;
         }
     }
     const auto created = co_await create_idempotently(self, object_kind::batches, header.id,
@@ -199,12 +200,13 @@
 
 loop::task<read_header_result> read_header(std::shared_ptr<host> self, std::string id) {
     read_header_result out;
-    auto answer = co_await call_store(self->store, self->wire.get(object_kind::batches, id, false));
-    if (answer.fault != store_fault::none) {
-        out.missing = answer.fault == store_fault::not_found;
+    auto answer = co_await call_store(self->store,
+                                      self->platform_adapter.get(object_kind::batches, id, false));
+    if (answer.fault != store_outcome::none) {
+        out.missing = answer.fault == store_outcome::not_found;
         co_return out;
     }
-    const auto object = self->wire.object(answer.body);
+    const auto object = self->platform_adapter.object(answer.body);
     if (object) {
         auto header = decode_header(id, object.value().specification);
         if (header) {
@@ -212,7 +214,7 @@
             co_return out;
         }
     }
-    note(*self, object_unreadable, {{"kind", "batches"}, {"id", id}});
+    log_event(*self, object_unreadable, {{"kind", "batches"}, {"id", id}});
     co_return out;
 }
 
@@ -247,9 +249,9 @@
 live_batch_ptr restore_batch(const std::shared_ptr<host>& self, batch_header header,
                              const stored_batch& stored) {
     const auto submission_json = nlohmann::json::parse(*stored.submission, nullptr, false);
-    auto spec = self->wire.submission(submission_json);
+    auto spec = self->platform_adapter.submission(submission_json);
     if (!spec) {
-        note(*self, object_unreadable, {{"kind", "batches"}, {"id", header.id}});
+        log_event(*self, object_unreadable, {{"kind", "batches"}, {"id", header.id}});
         return nullptr;
     }
     const auto age = milliseconds(self->clock.wall_now().unix_ms - header.received_ms);
@@ -265,12 +267,12 @@
 
 void report_load(host& self, std::string_view id, std::string_view outcome,
                  const stored_batch& stored, time_point load_started) {
-    note(self, batch_loaded,
-         {{"id", id},
-          {"outcome", outcome},
-          {"bytes", static_cast<std::uint64_t>(stored.submission.value_or("").size())},
-          {"entries", static_cast<std::uint64_t>(stored.entries.size())},
-          {"ms", ms_between(load_started, self.now())}});
+    log_event(self, batch_loaded,
+              {{"id", id},
+               {"outcome", outcome},
+               {"bytes", static_cast<std::uint64_t>(stored.submission.value_or("").size())},
+               {"entries", static_cast<std::uint64_t>(stored.entries.size())},
+               {"ms", ms_between(load_started, self.now())}});
 }
 
 } // namespace
@@ -297,13 +299,13 @@
 }
 
 loop::task<bool> catch_up(live_batch_ptr batch) {
-    const auto requested_at = batch->self->now();
-    const entry_reader read = make_entry_reader(batch->self, batch->state.header.id);
+    const auto requested_at = batch->local_host->now();
+    const entry_reader read = make_entry_reader(batch->local_host, batch->state.header.id);
     const entry_handler handle = [batch](std::uint64_t number, const log_entry& entry) {
         apply_log_entry(*batch, number, entry);
     };
     const auto stopped_by =
-        co_await read_log(batch->self->io, batch->state.next_entry, 1, read, handle);
+        co_await read_log(batch->local_host->io, batch->state.next_entry_number, 1, read, handle);
     batch->log.unavailable = stopped_by != log_read_status::end;
     if (stopped_by == log_read_status::end) {
         record_confirmed(*batch, requested_at);
@@ -313,7 +315,7 @@
 
 loop::task<bool> append_entry(live_batch_ptr batch, entry_builder build_entry,
                               time_point deadline) {
-    auto self = batch->self;
+    auto self = batch->local_host;
     while (batch->appending) {
         co_await batch->changed.wait(to_deadline(*self, deadline));
         if (self->now() >= deadline) {
--- a/src/front/batch_log.hpp
+++ b/src/front/batch_log.hpp
@@ -11,8 +11,8 @@
 /// Stores a submission before it is accepted: first its parts, then the header. The batch exists
 /// once the header does. Retries until `deadline`. `conflict` means that the batch was stored
 /// before and counts as success.
-loop::task<store_fault> store_batch(std::shared_ptr<host> self, batch_header header,
-                                    std::string_view submission, time_point deadline);
+loop::task<store_outcome> store_batch(std::shared_ptr<host> self, batch_header header,
+                                      std::string_view submission, time_point deadline);
 
 /// Result of loading a batch.
 struct loaded_batch {
--- a/src/front/batch_owner.hpp
+++ b/src/front/batch_owner.hpp
@@ -12,20 +12,21 @@
 /// delay the loading. Only an owner that may still run the batch is asked again afterwards.
 
 /// Maximum wait of a forwarded read, so that a dead owner is detected soon.
-inline constexpr milliseconds passed_wait{600};
+inline constexpr milliseconds max_forwarded_wait{600};
 
 /// Status with which a host answers that it does not own the batch.
-inline constexpr int status_other_owner = 409;
+inline constexpr int status_not_owner = 409;
 
 /// Forwarding attempts for one call of a caller.
-struct call_tries {
+struct forwarding_attempts {
     int owners_asked = 0;
 };
 
 /// Forwards the call to `owner` and answers it. False if the owner does not respond, or answers
 /// that it no longer owns the batch; the call is not answered then.
-loop::task<bool> try_owner(std::shared_ptr<batch_desk> registry, loop::served_request& request,
-                           const batch_call& call, transport::endpoint owner, call_tries& attempts);
+loop::task<bool> forward_to_host(std::shared_ptr<batch_registry> registry,
+                                 loop::served_request& request, const batch_call& call,
+                                 transport::endpoint owner, forwarding_attempts& attempts);
 
 /// Logs that an owner did not respond.
 void report_unresponsive_owner(host& self, std::string_view batch, const transport::endpoint& owner,
--- a/src/front/batch_start.cpp
+++ b/src/front/batch_start.cpp
@@ -30,24 +30,24 @@
 /// Announces this host as the owner to the hosts that may get calls on the batch or be asked to run
 /// it: all hosts of this zone and the preferred runner of each other zone.
 loop::task<void> announce_ownership(std::shared_ptr<host> self, std::string id) {
-    auto message = peer_call(owner_path, id);
-    message.query += "&at=" + to_string(self->settings.peers);
+    auto message = make_peer_request(owner_path, id);
+    message.query += "&at=" + to_string(self->settings.peer_endpoint);
     std::vector<transport::endpoint> recipients;
     for (const auto& [zone, region] : self->settings.region_of_zone) {
         const host_entry any_host{{}, zone, {}, -1};
-        const auto preferred = first_of_zone(any_host, self->peers, self->avoided, self->now());
+        const auto preferred = first_zone_host(any_host, self->peers, self->avoided, self->now());
         if (zone != self->settings.zone && preferred) {
-            recipients.push_back(preferred->where);
+            recipients.push_back(preferred->address);
         }
     }
     for (const auto& [name, peer] : self->peers) {
         if (peer.zone == self->settings.zone) {
-            recipients.push_back(peer.where);
+            recipients.push_back(peer.address);
         }
     }
     for (const auto& where : recipients) {
-        co_await loop::call(self->connections, where, message, loop::after(owner_allowance),
-                            owner_connect);
+        co_await loop::call(self->connections, where, message,
+                            loop::after(owner_response_allowance), owner_connect_timeout);
     }
 }
 
@@ -57,29 +57,30 @@
     batch->stored = true;
     batch->log.confirmed = std::max(batch->log.confirmed, log_confirmed);
     batch->changed.open();
-    loop::asio::co_spawn(batch->self->io, announce_ownership(batch->self, batch->state.header.id),
+    loop::asio::co_spawn(batch->local_host->io,
+                         announce_ownership(batch->local_host, batch->state.header.id),
                          loop::asio::detached);
 }
 
-void drop_batch(batch_desk& registry, const live_batch_ptr& batch, std::string_view reason) {
-    note(*registry.self, batch_dropped,
-         {{"id", batch->state.header.id},
-          {"why", reason},
-          {"runs", static_cast<std::uint64_t>(batch->runs.size())},
-          {"age_ms", ms_between(batch->state.submitted, registry.self->now())}});
+void drop_batch(batch_registry& registry, const live_batch_ptr& batch, std::string_view reason) {
+    log_event(*registry.self, batch_dropped,
+              {{"id", batch->state.header.id},
+               {"why", reason},
+               {"runs", static_cast<std::uint64_t>(batch->runs.size())},
+               {"age_ms", ms_between(batch->state.submitted, registry.self->now())}});
     batch->owned = false;
     stop_runs(*batch);
     batch->changed.open();
-    registry.known.erase(batch->state.header.id);
+    registry.batches.erase(batch->state.header.id);
 }
 
-live_batch_ptr find_batch(const batch_desk& registry, std::string_view id) {
-    const auto found = registry.known.find(id);
-    return found == registry.known.end() ? nullptr : found->second;
+live_batch_ptr find_batch(const batch_registry& registry, std::string_view id) {
+    const auto found = registry.batches.find(id);
+    return found == registry.batches.end() ? nullptr : found->second;
 }
 
 /// Reads the store to find out whether the batch was stored, and with which owner.
-loop::task<void> check_stored(std::shared_ptr<batch_desk> registry, live_batch_ptr batch) {
+loop::task<void> check_stored(std::shared_ptr<batch_registry> registry, live_batch_ptr batch) {
     const auto read = co_await read_header(registry->self, batch->state.header.id);
     if (batch->stored || !batch->owned) {
         co_return;
@@ -87,14 +88,15 @@
     if (read.header && read.header->owner == registry->self->settings.host) {
         mark_stored(batch, {}); // by an earlier attempt: the caller may have ended it since
     } else if (read.header) {
-        note_owner(*registry, batch->state.header.id, read.header->owner_at);
+        record_owner(*registry, batch->state.header.id, read.header->owner_at);
         drop_batch(*registry, batch, "owned by another host");
     } else if (read.missing) {
         drop_batch(*registry, batch, "not stored");
     }
 }
 
-loop::task<void> check_until_stored(std::shared_ptr<batch_desk> registry, live_batch_ptr batch) {
+loop::task<void> check_until_stored(std::shared_ptr<batch_registry> registry,
+                                    live_batch_ptr batch) {
     for (;;) {
         co_await loop::pause_for(registry->self->io, store_check_delay);
         if (batch->stored || !batch->owned) {
@@ -105,25 +107,26 @@
 }
 
 /// Starts a batch that this process does not know yet.
-live_batch_ptr start_batch(const std::shared_ptr<batch_desk>& registry, batch_header header,
+live_batch_ptr start_batch(const std::shared_ptr<batch_registry>& registry, batch_header header,
                            batch_spec spec, bool stored) {
     const std::string id = header.id;
     auto batch = std::make_shared<live_batch>(
         registry->self, make_batch(std::move(header), std::move(spec), registry->self->now()));
     batch->stored = stored;
-    registry->known.emplace(id, batch);
-    start_driving(batch, {}, stored ? "submitted" : "being stored");
+    registry->batches.emplace(id, batch);
+    start_running(batch, {}, stored ? "submitted" : "being stored");
     return batch;
 }
 
-early_start_conditions get_early_start_conditions(const batch_desk& registry, std::string_view id) {
+early_start_conditions get_early_start_conditions(const batch_registry& registry,
+                                                  std::string_view id) {
     const auto& self = *registry.self;
-    return {registry.known.contains(id), registry.owners.contains(id), self.stopping,
+    return {registry.batches.contains(id), registry.owners.contains(id), self.stopping,
             std::chrono::duration_cast<milliseconds>(self.now() - self.started)};
 }
 
 /// Starts or continues a batch that a peer or this host has received; returns the status.
-int handle_start_call(const std::shared_ptr<batch_desk>& registry,
+int handle_start_call(const std::shared_ptr<batch_registry>& registry,
                       const transport::http_request& message, const std::string& id, bool stored) {
     auto& self = *registry->self;
     const auto known = find_batch(*registry, id);
@@ -138,7 +141,8 @@
     }
     const auto record = transport::find_header(message.headers, record_header).value_or("");
     auto header = decode_header(id, nlohmann::json::parse(record, nullptr, false));
-    auto spec = self.wire.submission(nlohmann::json::parse(message.body, nullptr, false));
+    auto spec =
+        self.platform_adapter.submission(nlohmann::json::parse(message.body, nullptr, false));
     if (!header || !spec || header.value().owner != self.settings.host || self.stopping) {
         return status_unavailable;
     }
@@ -152,7 +156,7 @@
     return status_ok;
 }
 
-int handle_withdraw_call(batch_desk& registry, const live_batch_ptr& batch) {
+int handle_withdraw_call(batch_registry& registry, const live_batch_ptr& batch) {
     if (!batch || batch->stored) {
         return status_conflict;
     }
@@ -168,10 +172,10 @@
     bool sent = false; ///< The call may have reached it.
 };
 
-loop::task<runner_answer> call_runner(std::shared_ptr<batch_desk> registry, batch_header header,
+loop::task<runner_answer> call_runner(std::shared_ptr<batch_registry> registry, batch_header header,
                                       std::string_view action, std::string submission = {}) {
     auto self = registry->self;
-    auto message = peer_call(std::string(start_path) + std::string(action), header.id);
+    auto message = make_peer_request(std::string(start_path) + std::string(action), header.id);
     message.headers.push_back({std::string(record_header), encode_header(header)});
     message.body = std::move(submission);
     if (header.owner == self->settings.host) {
@@ -179,7 +183,7 @@
         co_return runner_answer{status, true};
     }
     auto outcome = co_await loop::call(self->connections, header.owner_at, std::move(message),
-                                       loop::after(runner_timeout), owner_connect);
+                                       loop::after(runner_timeout), owner_connect_timeout);
     if (outcome.fault != loop::exchange_fault::none) {
         report_unresponsive_owner(*self, header.id, header.owner_at, outcome);
         co_return runner_answer{0, outcome.sent};
@@ -187,8 +191,9 @@
     co_return runner_answer{outcome.answer.status, true};
 }
 
-loop::task<void> send_early_start_call(std::shared_ptr<batch_desk> registry, batch_header header,
-                                       std::string submission, early_start_ptr early) {
+loop::task<void> send_early_start_call(std::shared_ptr<batch_registry> registry,
+                                       batch_header header, std::string submission,
+                                       early_start_ptr early) {
     const auto response =
         co_await call_runner(registry, header, action_early, std::move(submission));
     using phase = early_start::phase;
@@ -208,18 +213,18 @@
 } // namespace
 
 host_entry choose_runner(host& self) {
-    auto own = own_entry(self);
+    auto own = host_entry_of(self);
     if (self.stopping) {
         return own;
     }
-    return first_of_zone(own, self.peers, self.avoided, self.now()).value_or(std::move(own));
+    return first_zone_host(own, self.peers, self.avoided, self.now()).value_or(std::move(own));
 }
 
-early_start_ptr ask_early_start(const std::shared_ptr<batch_desk>& registry,
-                                const batch_header& header, const std::string& submission) {
+early_start_ptr request_early_start(const std::shared_ptr<batch_registry>& registry,
+                                    const batch_header& header, const std::string& submission) {
     auto early = std::make_shared<early_start>(registry->self->io);
     // If this host knows the batch or its owner, it has been submitted before.
-    if (registry->owners.contains(header.id) || registry->known.contains(header.id)) {
+    if (registry->owners.contains(header.id) || registry->batches.contains(header.id)) {
         early->current_phase = early_start::phase::declined;
         return early;
     }
@@ -229,17 +234,18 @@
     return early;
 }
 
-loop::task<void> confirm_start(std::shared_ptr<batch_desk> registry, batch_header header,
-                               std::string submission, early_start_ptr early, store_fault stored) {
+loop::task<void> confirm_start(std::shared_ptr<batch_registry> registry, batch_header header,
+                               std::string submission, early_start_ptr early,
+                               store_outcome stored) {
     co_await wait_for_answer(early);
     const bool declined = early->current_phase == early_start::phase::declined;
-    if (stored == store_fault::conflict) {
+    if (stored == store_outcome::conflict) {
         if (!declined) {
             co_await call_runner(registry, header, action_settle);
         }
         co_return;
     }
-    note_owner(*registry, header.id, header.owner_at);
+    record_owner(*registry, header.id, header.owner_at);
     if (!declined) {
         const auto response = co_await call_runner(registry, header, action_stored);
         if (response.status == status_ok) {
@@ -257,8 +263,8 @@
     }
 }
 
-loop::task<early_outcome> withdraw_start(std::shared_ptr<batch_desk> registry, batch_header header,
-                                         early_start_ptr early) {
+loop::task<early_outcome> withdraw_start(std::shared_ptr<batch_registry> registry,
+                                         batch_header header, early_start_ptr early) {
     co_await wait_for_answer(early);
     if (early->current_phase == early_start::phase::declined) {
         co_return early_outcome::nothing_sent;
@@ -268,7 +274,7 @@
                                            : early_outcome::may_have_run;
 }
 
-loop::task<int> serve_start_call(std::shared_ptr<batch_desk> registry,
+loop::task<int> serve_start_call(std::shared_ptr<batch_registry> registry,
                                  transport::http_request message) {
     const auto action = std::string_view(message.path).substr(start_path.size());
     const std::string id(transport::find_query(message.query, "id").value_or(""));
@@ -291,9 +297,9 @@
     co_return action == action_withdraw ? handle_withdraw_call(*registry, known) : 404;
 }
 
-void drop_unstored(batch_desk& registry) {
+void drop_unstored(batch_registry& registry) {
     std::vector<live_batch_ptr> unstored;
-    for (const auto& [id, batch] : registry.known) {
+    for (const auto& [id, batch] : registry.batches) {
         if (!batch->stored) {
             unstored.push_back(batch);
         }
--- a/src/front/batch_start.hpp
+++ b/src/front/batch_start.hpp
@@ -29,19 +29,19 @@
 using early_start_ptr = std::shared_ptr<early_start>;
 
 /// Asks the batch's runner to start the items before the batch is stored.
-[[nodiscard]] early_start_ptr ask_early_start(const std::shared_ptr<batch_desk>& registry,
-                                              const batch_header& header,
-                                              const std::string& submission);
+[[nodiscard]] early_start_ptr request_early_start(const std::shared_ptr<batch_registry>& registry,
+                                                  const batch_header& header,
+                                                  const std::string& submission);
 
 /// Tells the runner that the batch is stored, so that it continues, or starts if it has not yet.
 /// `stored` is `none` if this submission stored the batch, and `conflict` if an earlier one did,
 /// perhaps with another runner.
-loop::task<void> confirm_start(std::shared_ptr<batch_desk> registry, batch_header header,
-                               std::string submission, early_start_ptr early, store_fault stored);
+loop::task<void> confirm_start(std::shared_ptr<batch_registry> registry, batch_header header,
+                               std::string submission, early_start_ptr early, store_outcome stored);
 
 /// Tells the runner to stop because the batch could not be stored.
-loop::task<early_outcome> withdraw_start(std::shared_ptr<batch_desk> registry, batch_header header,
-                                         early_start_ptr early);
+loop::task<early_outcome> withdraw_start(std::shared_ptr<batch_registry> registry,
+                                         batch_header header, early_start_ptr early);
 
 /// Path prefix of the calls to a batch's runner; the action follows.
 inline constexpr std::string_view start_path = "/batches/start/";
@@ -49,10 +49,10 @@
 inline constexpr std::string_view record_header = "Cornelloom-Batch";
 
 /// Serves a call to the runner and returns the status of its response.
-loop::task<int> serve_start_call(std::shared_ptr<batch_desk> registry,
+loop::task<int> serve_start_call(std::shared_ptr<batch_registry> registry,
                                  transport::http_request message);
 
 /// Stops and forgets all batches that are not stored yet, because this process ends.
-void drop_unstored(batch_desk& registry);
+void drop_unstored(batch_registry& registry);
 
 } // namespace cornelloom::front
--- a/src/front/batch_submit.cpp
+++ b/src/front/batch_submit.cpp
@@ -17,26 +17,27 @@
     new_header.path = path;
     new_header.account = std::move(account);
     new_header.owner = runner.name;
-    new_header.owner_at = runner.where;
+    new_header.owner_at = runner.address;
     new_header.received_ms = self.clock.wall_now().unix_ms;
     return new_header;
 }
 
 /// Withdraws the early start of a batch that could not be stored and tells the caller that it is
 /// not accepted.
-loop::task<void> answer_not_stored(std::shared_ptr<batch_desk> registry,
+loop::task<void> answer_not_stored(std::shared_ptr<batch_registry> registry,
                                    loop::served_request& request, batch_header header,
-                                   early_start_ptr early, store_fault store_result) {
+                                   early_start_ptr early, store_outcome store_result) {
     auto& self = *registry->self;
     const auto outcome = co_await withdraw_start(registry, header, early);
-    const bool refused = judge_submission(store_result, outcome) == submission_answer::refuse;
-    note(self, batch_refused,
-         {{"id", header.id},
-          {"why", refused ? "store unreachable" : "store did not answer"},
-          {"fault", to_string(store_result)},
-          {"nothing_sent", outcome == early_outcome::nothing_sent}});
+    const bool refused =
+        choose_submission_answer(store_result, outcome) == submission_answer::refuse;
+    log_event(self, batch_refused,
+              {{"id", header.id},
+               {"why", refused ? "store unreachable" : "store did not answer"},
+               {"fault", to_string(store_result)},
+               {"nothing_sent", outcome == early_outcome::nothing_sent}});
     if (refused) {
-        co_await refuse(self, request, header.id, "platform_unavailable", come_back_later);
+        co_await refuse(self, request, header.id, "platform_unavailable", unavailable_retry_delay);
     } else {
         co_await fail(self, request, header.id, "store did not answer", true);
     }
@@ -44,36 +45,38 @@
 
 } // namespace
 
-loop::task<void> submit_batch(std::shared_ptr<batch_desk> registry, loop::served_request& request,
-                              caller_request caller, std::string account) {
+loop::task<void> submit_batch(std::shared_ptr<batch_registry> registry,
+                              loop::served_request& request, caller_request caller,
+                              std::string account) {
     auto self = registry->self;
     auto& submission = request.message.body;
-    const auto spec = self->wire.submission(nlohmann::json::parse(submission, nullptr, false));
+    const auto spec =
+        self->platform_adapter.submission(nlohmann::json::parse(submission, nullptr, false));
     if (!spec) {
         co_await reject(*self, request, caller.id, spec.error().detail, 400);
         co_return;
     }
     const auto received = self->now();
     const auto header = make_header(*self, caller, request.message.path, std::move(account));
-    const auto early = ask_early_start(registry, header, submission);
-    const auto deadline = received + storing_time(caller.time_left);
+    const auto early = request_early_start(registry, header, submission);
+    const auto deadline = received + storage_timeout(caller.time_left);
     const auto store_result = co_await store_batch(self, header, submission, deadline);
     const bool accepted =
-        store_result == store_fault::none || store_result == store_fault::conflict;
+        store_result == store_outcome::none || store_result == store_outcome::conflict;
     if (!accepted) {
         co_await answer_not_stored(registry, request, header, early, store_result);
         co_return;
     }
-    note(*self, batch_accepted,
-         {{"id", caller.id},
-          {"account", header.account},
-          {"again", store_result == store_fault::conflict},
-          {"owner", header.owner},
-          {"items", static_cast<std::uint64_t>(spec.value().items.size())},
-          {"oldest_version", spec.value().oldest_version},
-          {"wanted", spec.value().groups_wanted},
-          {"bytes", static_cast<std::uint64_t>(submission.size())},
-          {"ms", ms_between(received, self->now())}});
+    log_event(*self, batch_accepted,
+              {{"id", caller.id},
+               {"account", header.account},
+               {"again", store_result == store_outcome::conflict},
+               {"owner", header.owner},
+               {"items", static_cast<std::uint64_t>(spec.value().items.size())},
+               {"oldest_version", spec.value().oldest_version},
+               {"wanted", spec.value().required_groups},
+               {"bytes", static_cast<std::uint64_t>(submission.size())},
+               {"ms", ms_between(received, self->now())}});
     loop::asio::co_spawn(
         self->io, confirm_start(registry, header, std::move(submission), early, store_result),
         loop::asio::detached);
--- a/src/front/count_exchange.cpp
+++ b/src/front/count_exchange.cpp
@@ -22,13 +22,14 @@
 constexpr std::size_t max_zone_hosts_asked = 2;
 
 report_rules rules_of(const host& self) {
-    return rules_for(self.settings.duties ? self.settings.duties->usage_due : milliseconds(0));
+    return report_rules_for(self.settings.duties ? self.settings.duties->usage_report_timeout
+                                                 : milliseconds(0));
 }
 
 /// The oldest window that may still be reported.
 window_number oldest_window(const host& self) {
     const auto now = self.clock.wall_now().unix_ms;
-    return window_at(self.usage, now - rules_of(self).kept.count());
+    return window_of(self.usage, now - rules_of(self).retention.count());
 }
 
 /// Encodes usage and demand counts of the windows from `first` to `last`.
@@ -42,7 +43,8 @@
 void merge_windows(host& self, window_counts& counts, const nlohmann::json& value) {
     const auto received = decode_windows(value);
     if (!received) {
-        note(self, object_unreadable, {{"kind", "counts"}, {"problem", received.error().detail}});
+        log_event(self, object_unreadable,
+                  {{"kind", "counts"}, {"problem", received.error().detail}});
         return;
     }
     merge(counts, received.value());
@@ -69,7 +71,7 @@
                                      window_number window) {
     std::size_t answered = 0;
     for (const auto& peer : hosts) {
-        const bool responded = co_await request_counts(self, peer.where, window);
+        const bool responded = co_await request_counts(self, peer.address, window);
         answered += responded ? 1 : 0;
         if (answered == max_zone_hosts_asked) {
             break;
@@ -81,7 +83,7 @@
 loop::task<void> gather_periodically(std::shared_ptr<host> self) {
     for (;;) {
         co_await wait_for_lease(self);
-        co_await gather_counts(self, window_at(self->demand, self->clock.wall_now().unix_ms));
+        co_await gather_counts(self, window_of(self->demand, self->clock.wall_now().unix_ms));
         co_await loop::pause_for(self->io, gather_interval);
     }
 }
@@ -89,7 +91,7 @@
 } // namespace
 
 std::string encode_own_counts(const host& self) {
-    const auto newest = window_at(self.usage, self.clock.wall_now().unix_ms);
+    const auto newest = window_of(self.usage, self.clock.wall_now().unix_ms);
     return encode_counts(self, oldest_window(self), newest, counter_name(self));
 }
 
@@ -99,7 +101,8 @@
     }
     const auto received = nlohmann::json::parse(text, nullptr, false);
     if (!received.is_object()) {
-        note(self, object_unreadable, {{"kind", "counts"}, {"problem", "expected a JSON object"}});
+        log_event(self, object_unreadable,
+                  {{"kind", "counts"}, {"problem", "expected a JSON object"}});
         return;
     }
     merge_windows(self, self.usage, received.value("usage", nlohmann::json::object()));
@@ -129,24 +132,25 @@
     co_return std::ranges::all_of(answered, std::identity{});
 }
 
-loop::task<void> hand_counts_over(std::shared_ptr<host> self) {
+loop::task<void> send_all_counts(std::shared_ptr<host> self) {
     const auto hosts = ranked_zone_hosts(self->settings.zone, self->peers);
     if (self->usage.windows.empty() || hosts.empty()) {
         co_return;
     }
-    const auto newest = window_at(self->usage, self->clock.wall_now().unix_ms);
+    const auto newest = window_of(self->usage, self->clock.wall_now().unix_ms);
     for (const auto& peer : hosts | std::views::take(max_zone_hosts_asked)) {
         transport::http_request message;
         message.method = "POST";
         message.path = counts_path;
         message.headers.push_back({"Host", "peer"});
         message.body = encode_counts(*self, oldest_window(*self), newest);
-        co_await loop::call(self->connections, peer.where, std::move(message),
+        co_await loop::call(self->connections, peer.address, std::move(message),
                             loop::after(counts_timeout), counts_connect_timeout);
     }
 }
 
-void note_demand(host& self, const std::map<std::string, std::uint64_t, std::less<>>& in_progress) {
+void record_demand(host& self,
+                   const std::map<std::string, std::uint64_t, std::less<>>& in_progress) {
     const auto now = self.clock.wall_now().unix_ms;
     for (const auto& [model, items] : in_progress) {
         if (items > 0) {
@@ -156,7 +160,7 @@
 }
 
 std::uint64_t peak_demand(const host& self, std::string_view model) {
-    const auto newest = window_at(self.demand, self.clock.wall_now().unix_ms);
+    const auto newest = window_of(self.demand, self.clock.wall_now().unix_ms);
     std::uint64_t out = 0;
     for (auto window = newest - demand_windows + 1; window <= newest; ++window) {
         const auto sum = totals(self.demand, window);
@@ -170,7 +174,7 @@
     loop::asio::co_spawn(self->io, gather_periodically(self), loop::asio::detached);
 }
 
-void forget_old_counts(host& self) {
+void drop_old_counts(host& self) {
     drop_before(self.usage, oldest_window(self));
     drop_before(self.demand, oldest_window(self));
 }
--- a/src/front/count_exchange.hpp
+++ b/src/front/count_exchange.hpp
@@ -28,10 +28,11 @@
 loop::task<bool> gather_counts(std::shared_ptr<host> self, window_number window);
 
 /// Sends all counts to other hosts of the zone before this process ends.
-loop::task<void> hand_counts_over(std::shared_ptr<host> self);
+loop::task<void> send_all_counts(std::shared_ptr<host> self);
 
 /// Records the number of items in progress on this host, by model.
-void note_demand(host& self, const std::map<std::string, std::uint64_t, std::less<>>& in_progress);
+void record_demand(host& self,
+                   const std::map<std::string, std::uint64_t, std::less<>>& in_progress);
 
 /// The peak number of items of the model in progress at the same time within the last few windows,
 /// summed over all hosts whose counts this host has received.
@@ -42,6 +43,6 @@
 void start_gathering(const std::shared_ptr<host>& self);
 
 /// Drops the windows that can no longer be reported.
-void forget_old_counts(host& self);
+void drop_old_counts(host& self);
 
 } // namespace cornelloom::front
--- a/src/front/early_start.cpp
+++ b/src/front/early_start.cpp
@@ -17,15 +17,15 @@
            conditions.uptime >= min_uptime_for_early_start;
 }
 
-submission_answer judge_submission(store_fault stored, early_outcome early) {
-    if (stored == store_fault::none || stored == store_fault::conflict) {
+submission_answer choose_submission_answer(store_outcome stored, early_outcome early) {
+    if (stored == store_outcome::none || stored == store_outcome::conflict) {
         return submission_answer::accept;
     }
-    const bool not_run = stored == store_fault::refused && early == early_outcome::nothing_sent;
+    const bool not_run = stored == store_outcome::refused && early == early_outcome::nothing_sent;
     return not_run ? submission_answer::refuse : submission_answer::fail;
 }
 
-milliseconds storing_time(std::optional<milliseconds> caller_timeout) {
+milliseconds storage_timeout(std::optional<milliseconds> caller_timeout) {
     if (!caller_timeout) {
         return default_storage_timeout;
     }
--- a/src/front/early_start.hpp
+++ b/src/front/early_start.hpp
@@ -39,10 +39,10 @@
     fail,   ///< The batch may exist, or items may have run.
 };
 
-[[nodiscard]] submission_answer judge_submission(store_fault stored, early_outcome early);
+[[nodiscard]] submission_answer choose_submission_answer(store_outcome stored, early_outcome early);
 
 /// How long to retry storing a submission: as long as its caller waits, because the caller's next
 /// attempt would depend on the same store. A few seconds if the caller sets no timeout.
-[[nodiscard]] milliseconds storing_time(std::optional<milliseconds> caller_timeout);
+[[nodiscard]] milliseconds storage_timeout(std::optional<milliseconds> caller_timeout);
 
 } // namespace cornelloom::front
--- a/src/front/feed.cpp
+++ b/src/front/feed.cpp
@@ -26,7 +26,7 @@
 /// revisions.
 constexpr std::size_t max_encoded_responses = 16;
 
-feed_response full_list(const kept_kind& cache) {
+feed_response full_list(const feed_cache& cache) {
     feed_response out;
     out.at = cache.at;
     for (const auto& [name, object] : cache.objects) {
@@ -35,9 +35,9 @@
     return out;
 }
 
-feed_response history_since(const kept_kind& cache, std::uint64_t since) {
+feed_response history_since(const feed_cache& cache, std::uint64_t since) {
     feed_response out;
-    for (const auto& step : cache.recent) {
+    for (const auto& step : cache.history) {
         if (step.at <= since) {
             continue;
         }
@@ -54,7 +54,7 @@
 
 /// The updates after `since` when the history doesn't reach back that far, as on a new feeder. Most
 /// objects are unchanged, so only their names are sent.
-feed_response names_and_changes_since(const kept_kind& cache, std::uint64_t since) {
+feed_response names_and_changes_since(const feed_cache& cache, std::uint64_t since) {
     feed_response out;
     out.at = cache.at;
     out.names.emplace();
@@ -74,7 +74,7 @@
     for (const auto& seed : self.settings.seeds) {
         const auto name = to_string(seed);
         const auto avoided = self.avoided.find(name);
-        if (seed == self.settings.peers) {
+        if (seed == self.settings.peer_endpoint) {
             return std::nullopt; // this host is a seed
         }
         if (avoided == self.avoided.end() || avoided->second <= self.now()) {
@@ -90,29 +90,30 @@
 /// When this host's data becomes stale without another direct response of the store. Responses
 /// relayed by a peer don't count: the watches on the direct path may hang at the same time.
 loop::deadline fresh_until(const host& self) {
-    return self.store.ways.last_direct_response + max_feed_staleness;
+    return self.store.paths.last_direct_response + max_feed_staleness;
 }
 
 /// Whether this host may serve a kind now: it watches the kind itself and its data is fresh.
-bool can_serve(const host& self, const kept_kind& cache) {
-    return cache.at != 0 && cache.live && fresh_until(self) >= loop::steady_clock::now();
+bool can_serve(const host& self, const feed_cache& cache) {
+    return cache.at != 0 && cache.watching && fresh_until(self) >= loop::steady_clock::now();
 }
 
 /// Whether there are updates for a host that is current up to revision `since`.
-bool has_updates(const kept_kind& cache, std::uint64_t since) {
-    const bool history_too_short = since == 0 || since < cache.oldest;
+bool has_updates(const feed_cache& cache, std::uint64_t since) {
+    const bool history_too_short = since == 0 || since < cache.history_start;
     return history_too_short ||
-           std::ranges::any_of(cache.recent,
-                               [since](const kept_kind::step& step) { return step.at > since; });
+           std::ranges::any_of(cache.history, [since](const feed_cache::change_set& step) {
+               return step.at > since;
+           });
 }
 
-std::string encode_updates(const host& self, object_kind kind, kept_kind& cache,
+std::string encode_updates(const host& self, object_kind kind, feed_cache& cache,
                            std::uint64_t since) {
     if (kind != object_kind::configuration) {
         return encode_updates_once(cache, since);
     }
     auto updates = updates_since(cache, since);
-    if (self.configuration_as_of != time_point{}) {
+    if (self.configuration_confirmed_at != time_point{}) {
         updates.age = configuration_age(self);
     }
     return encode_feed_response(updates);
@@ -121,38 +122,39 @@
 } // namespace
 
 std::optional<host_entry> choose_feeder(host& self, object_kind kind) {
-    const auto& cache = self.kept[kind];
-    if (cache.asked != time_point{} && self.now() - cache.asked < watch_after_unserved_poll) {
+    const auto& cache = self.caches[kind];
+    if (cache.last_unserved_poll != time_point{} &&
+        self.now() - cache.last_unserved_poll < watch_after_unserved_poll) {
         return std::nullopt;
     }
     if (self.peers.empty()) {
         return choose_seed(self);
     }
-    return first_of_zone(own_entry(self), self.peers, self.avoided, self.now());
+    return first_zone_host(host_entry_of(self), self.peers, self.avoided, self.now());
 }
 
 bool watches_store(const host& self) {
-    return std::ranges::any_of(self.kept.by_kind,
-                               [](const auto& each) { return each.second.live; });
+    return std::ranges::any_of(self.caches.by_kind,
+                               [](const auto& each) { return each.second.watching; });
 }
 
 void cache_list(host& self, object_kind kind, const std::vector<stored_object>& all,
                 std::uint64_t as_of) {
-    auto& cache = self.kept[kind];
+    auto& cache = self.caches[kind];
     cache.objects.clear();
     for (const auto& object : all) {
         cache.objects.emplace(object.name, object);
     }
     // A host at a revision before this list may have missed a deletion.
-    cache.recent.clear();
-    cache.oldest = as_of;
+    cache.history.clear();
+    cache.history_start = as_of;
     cache.at = as_of;
     cache.changed.open();
 }
 
 void cache_changes(host& self, object_kind kind, const std::vector<object_change>& changes,
                    std::uint64_t as_of) {
-    auto& cache = self.kept[kind];
+    auto& cache = self.caches[kind];
     cache.at = std::max(cache.at, as_of);
     cache.changed.open();
     if (changes.empty()) {
@@ -165,25 +167,25 @@
             cache.objects.insert_or_assign(change.object.name, change.object);
         }
     }
-    cache.recent.push_back({cache.at, changes});
-    if (cache.recent.size() > max_history_steps) {
-        cache.oldest = cache.recent.front().at;
-        cache.recent.pop_front();
+    cache.history.push_back({cache.at, changes});
+    if (cache.history.size() > max_history_steps) {
+        cache.history_start = cache.history.front().at;
+        cache.history.pop_front();
     }
 }
 
-feed_response updates_since(const kept_kind& cache, std::uint64_t since) {
+feed_response updates_since(const feed_cache& cache, std::uint64_t since) {
     if (since == 0) {
         return full_list(cache);
     }
-    return since < cache.oldest ? names_and_changes_since(cache, since)
-                                : history_since(cache, since);
+    return since < cache.history_start ? names_and_changes_since(cache, since)
+                                       : history_since(cache, since);
 }
 
-const std::string& encode_updates_once(kept_kind& cache, std::uint64_t since) {
-    if (cache.encoded_at != cache.at) {
+const std::string& encode_updates_once(feed_cache& cache, std::uint64_t since) {
+    if (cache.encoded_revision != cache.at) {
         cache.encoded.clear();
-        cache.encoded_at = cache.at;
+        cache.encoded_revision = cache.at;
     }
     const auto cached = cache.encoded.find(since);
     if (cached != cache.encoded.end()) {
@@ -278,7 +280,7 @@
         co_return;
     }
     merge_counts(*self, request.message.body);
-    auto& cache = self->kept[static_cast<object_kind>(kind)];
+    auto& cache = self->caches[static_cast<object_kind>(kind)];
     const auto since = parse_number("at");
     const auto hold_deadline = loop::after(feed_poll_wait);
     while (can_serve(*self, cache) && !has_updates(cache, since) &&
@@ -287,9 +289,9 @@
     }
     // When many hosts start, or lose their feeder, at the same time, they all poll this one before
     // it has its first list. Refusing them would send them all to one host after another.
-    while (!can_serve(*self, cache) && (!cache.live || cache.at == 0) &&
+    while (!can_serve(*self, cache) && (!cache.watching || cache.at == 0) &&
            loop::steady_clock::now() < hold_deadline) {
-        cache.asked = self->now();
+        cache.last_unserved_poll = self->now();
         co_await cache.changed.wait(hold_deadline);
     }
     transport::http_response response{status_stale, {}, {}};
--- a/src/front/feed.hpp
+++ b/src/front/feed.hpp
@@ -71,12 +71,12 @@
 
 /// The updates for a host that is current up to revision `since`. A large update is split: the host
 /// requests the rest from the `at` of the response.
-[[nodiscard]] feed_response updates_since(const kept_kind& cache, std::uint64_t since);
+[[nodiscard]] feed_response updates_since(const feed_cache& cache, std::uint64_t since);
 
 /// Returns the encoded updates after `since`, encoded once for all hosts at that revision: many
 /// hosts start, or lose their feeder, at the same time. The reference is valid until the cache
 /// changes or updates for another revision are encoded.
-[[nodiscard]] const std::string& encode_updates_once(kept_kind& cache, std::uint64_t since);
+[[nodiscard]] const std::string& encode_updates_once(feed_cache& cache, std::uint64_t since);
 
 /// Deletions for all known objects that are not among `names`.
 [[nodiscard]] std::vector<object_change>
--- a/src/front/feeder_choice.cpp
+++ b/src/front/feeder_choice.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 bool ranks_before(const host_entry& a, const host_entry& b) {
-    return a.processor != b.processor ? a.processor > b.processor : a.name < b.name;
+    return a.cpu_share != b.cpu_share ? a.cpu_share > b.cpu_share : a.name < b.name;
 }
 
 bool is_avoided(const avoided_feeders& avoided, std::string_view name, time_point now) {
@@ -17,8 +17,8 @@
 
 } // namespace
 
-std::optional<host_entry> first_of_zone(const host_entry& own, const host_entries& peers,
-                                        const avoided_feeders& avoided, time_point now) {
+std::optional<host_entry> first_zone_host(const host_entry& own, const host_entries& peers,
+                                          const avoided_feeders& avoided, time_point now) {
     const host_entry* first = nullptr;
     for (const auto& [name, peer] : peers) {
         if (peer.zone == own.zone && ranks_before(peer, first == nullptr ? own : *first) &&
--- a/src/front/feeder_choice.hpp
+++ b/src/front/feeder_choice.hpp
@@ -32,10 +32,10 @@
 
 /// The first host of the zone, in the common order, that is not avoided; `nullopt` if that is this
 /// host itself.
-[[nodiscard]] std::optional<host_entry> first_of_zone(const host_entry& own,
-                                                      const host_entries& peers,
-                                                      const avoided_feeders& avoided,
-                                                      time_point now);
+[[nodiscard]] std::optional<host_entry> first_zone_host(const host_entry& own,
+                                                        const host_entries& peers,
+                                                        const avoided_feeders& avoided,
+                                                        time_point now);
 
 /// The hosts of a zone in the common order.
 [[nodiscard]] std::vector<host_entry> ranked_zone_hosts(std::string_view zone,
--- a/src/front/follower.cpp
+++ b/src/front/follower.cpp
@@ -22,35 +22,35 @@
 constexpr loop::milliseconds startup_delay{400};
 
 void apply_configuration(host& self, const stored_object& object) {
-    auto read = self.wire.configuration_of(object.specification);
+    auto read = self.platform_adapter.configuration_of(object.specification);
     if (!read) {
-        self.configuration_sound = false;
-        note(self, object_unreadable,
-             {{"kind", "configuration"}, {"problem", read.error().detail}});
+        self.configuration_valid = false;
+        log_event(self, object_unreadable,
+                  {{"kind", "configuration"}, {"problem", read.error().detail}});
         return;
     }
-    self.configuration_sound = true;
-    const auto known = self.routes ? self.routes->source.version : 0;
+    self.configuration_valid = true;
+    const auto known = self.routes ? self.routes->config.version : 0;
     // Never apply an older version than one that was in force in this process.
     if (read.value().version <= known) {
         return;
     }
     self.routes = index_routes(std::move(read.value()));
-    self.learned.open();
+    self.startup_changed.open();
     self.metrics.set("cornelloom_configuration_generation",
-                     static_cast<double>(self.routes->source.version));
-    note(self, configuration_taken,
-         {{"version", self.routes->source.version},
-          {"before", known},
-          {"revision", object.revision},
-          {"routes", static_cast<std::uint64_t>(self.routes->source.routes.size())}});
+                     static_cast<double>(self.routes->config.version));
+    log_event(self, configuration_taken,
+              {{"version", self.routes->config.version},
+               {"before", known},
+               {"revision", object.revision},
+               {"routes", static_cast<std::uint64_t>(self.routes->config.routes.size())}});
 }
 
 std::optional<target_entry> decode_target(host& self, const stored_object& object) {
-    auto read = self.wire.target(object);
+    auto read = self.platform_adapter.target(object);
     if (!read) {
-        note(self, object_unreadable,
-             {{"kind", "targets"}, {"id", object.name}, {"problem", read.error().detail}});
+        log_event(self, object_unreadable,
+                  {{"kind", "targets"}, {"id", object.name}, {"problem", read.error().detail}});
         return std::nullopt;
     }
     return read.value();
@@ -66,13 +66,13 @@
     for (const auto& [model, version] : entry.versions) {
         versions += (versions.empty() ? "" : ",") + model + ":" + std::to_string(version);
     }
-    note(self, target_changed,
-         {{"target", entry.id},
-          {"service", entry.service},
-          {"at", to_string(entry.where)},
-          {"draining", entry.draining},
-          {"versions", versions},
-          {"revision", entry.revision}});
+    log_event(self, target_changed,
+              {{"target", entry.id},
+               {"service", entry.service},
+               {"at", to_string(entry.address)},
+               {"draining", entry.draining},
+               {"versions", versions},
+               {"revision", entry.revision}});
 }
 
 void report_target_changes(host& self, std::span<const object_change> changes,
@@ -80,12 +80,12 @@
     const auto deleted_count = std::ranges::count_if(changes, &object_change::deleted);
     const auto newest = std::ranges::max_element(
         changes, {}, [](const object_change& change) { return change.object.revision; });
-    note(self, targets_changed,
-         {{"changed", static_cast<std::uint64_t>(changes.size())},
-          {"gone", static_cast<std::uint64_t>(deleted_count)},
-          {"targets", static_cast<std::uint64_t>(self.targets.by_id.size())},
-          {"before", static_cast<std::uint64_t>(previous_count)},
-          {"revision", newest->object.revision}});
+    log_event(self, targets_changed,
+              {{"changed", static_cast<std::uint64_t>(changes.size())},
+               {"gone", static_cast<std::uint64_t>(deleted_count)},
+               {"targets", static_cast<std::uint64_t>(self.targets.by_id.size())},
+               {"before", static_cast<std::uint64_t>(previous_count)},
+               {"revision", newest->object.revision}});
 }
 
 void apply_target_list(host& self, std::span<const stored_object> all) {
@@ -97,26 +97,27 @@
     }
     replace_targets(self.targets, std::move(entries), self.now());
     self.targets_listed = true;
-    self.learned.open();
+    self.startup_changed.open();
 }
 
 void apply_target_changes(host& self, std::span<const object_change> changes) {
     const auto deleted_count = std::ranges::count_if(changes, &object_change::deleted);
     const auto since_failure = std::chrono::duration_cast<milliseconds>(
-        loop::steady_clock::now() - self.store.ways.last_direct_failure);
-    if (have_lapsed(static_cast<std::size_t>(deleted_count), since_failure, self.settings.calm)) {
-        note_return(self.targets, self.now());
+        loop::steady_clock::now() - self.store.paths.last_direct_failure);
+    if (are_expired_entries(static_cast<std::size_t>(deleted_count), since_failure,
+                            self.settings.stable_window)) {
+        record_platform_return(self.targets, self.now());
     }
     const auto previous_count = self.targets.by_id.size();
     for (const auto& change : changes) {
         if (change.deleted) {
-            note(self, target_gone, {{"target", change.object.name}});
+            log_event(self, target_gone, {{"target", change.object.name}});
             remove_target(self.targets, change.object.name, self.now());
             continue;
         }
         if (auto entry = decode_target(self, change.object)) {
             report_target(self, *entry);
-            put_target(self.targets, std::move(*entry), self.now());
+            upsert_target(self.targets, std::move(*entry), self.now());
         } else {
             remove_target(self.targets, change.object.name, self.now());
         }
@@ -125,16 +126,18 @@
 }
 
 void apply_version(host& self, const stored_object& object) {
-    auto read = self.wire.version(object.specification);
+    auto read = self.platform_adapter.version(object.specification);
     if (!read) {
-        note(self, object_unreadable, {{"kind", "versions"}, {"problem", read.error().detail}});
+        log_event(self, object_unreadable,
+                  {{"kind", "versions"}, {"problem", read.error().detail}});
         return;
     }
-    auto& known = self.named_versions[read.value().model];
+    auto& known = self.published_versions[read.value().model];
     if (read.value().version > known) {
         known = read.value().version;
-        note(self, version_named,
-             {{"model", read.value().model}, {"version", known}, {"revision", object.revision}});
+        log_event(
+            self, version_named,
+            {{"model", read.value().model}, {"version", known}, {"revision", object.revision}});
     }
 }
 
@@ -146,13 +149,13 @@
     if (read) {
         self.peers[object.name] = std::move(read.value());
     } else {
-        note(self, object_unreadable, {{"kind", "hosts"}, {"problem", read.error().detail}});
+        log_event(self, object_unreadable, {{"kind", "hosts"}, {"problem", read.error().detail}});
     }
 }
 
 /// Watches a kind whose objects are applied one by one and are kept when they are deleted.
-followed apply_each(const std::shared_ptr<host>& self, object_kind kind,
-                    loop::milliseconds (*delay)(), void (*apply)(host&, const stored_object&)) {
+watched_kind apply_each(const std::shared_ptr<host>& self, object_kind kind,
+                        loop::milliseconds (*delay)(), void (*apply)(host&, const stored_object&)) {
     return {kind, delay,
             [self, apply](std::span<const stored_object> all) {
                 std::ranges::for_each(all,
@@ -170,34 +173,35 @@
 /// Whether the existing object that made a create fail already holds `record`. It does when this
 /// host's process was stopped or killed and has started again.
 bool already_stored(const host& self, std::string_view body, std::string_view record) {
-    const auto object = self.wire.object(body);
+    const auto object = self.platform_adapter.object(body);
     return object && object.value().specification == nlohmann::json::parse(record, nullptr, false);
 }
 
 loop::task<void> announce_host(std::shared_ptr<host> self) {
-    const auto own = own_entry(*self);
+    const auto own = host_entry_of(*self);
     const auto record = encode_host(own);
     const auto kind = object_kind::hosts;
     for (;;) {
-        auto response = co_await call_store(self->store, self->wire.create(kind, own.name, record));
-        if (response.fault == store_fault::conflict) {
+        auto response =
+            co_await call_store(self->store, self->platform_adapter.create(kind, own.name, record));
+        if (response.fault == store_outcome::conflict) {
             if (already_stored(*self, response.body, record)) {
                 co_return;
             }
-            response =
-                co_await call_store(self->store, self->wire.replace(kind, own.name, record, 0));
+            response = co_await call_store(
+                self->store, self->platform_adapter.replace(kind, own.name, record, 0));
         }
-        if (response.fault == store_fault::none) {
+        if (response.fault == store_outcome::none) {
             co_return;
         }
-        co_await loop::pause_for(self->io, store_pause(*self, store_pause_most));
+        co_await loop::pause_for(self->io, store_retry_delay(*self, max_store_delay));
     }
 }
 
-followed watch_targets(const std::shared_ptr<host>& self) {
-    const auto usual_delay = self->settings.drain / target_delays_per_drain;
+watched_kind watch_targets(const std::shared_ptr<host>& self) {
+    const auto usual_delay = self->settings.drain_bound / target_delays_per_drain;
     const auto delay = [self, usual_delay] {
-        return self->wants_versions ? std::min(usual_delay, max_order_giver_delay) : usual_delay;
+        return self->sends_load_orders ? std::min(usual_delay, max_order_giver_delay) : usual_delay;
     };
     return {
         object_kind::targets, delay,
@@ -208,7 +212,7 @@
 /// A single list of targets, which may be seconds old, for requests that come before the watch has
 /// listed them. That is safe: the host has just started, so no freshness bound applies yet to
 /// changes that it missed.
-followed list_targets_once(const std::shared_ptr<host>& self) {
+watched_kind list_targets_once(const std::shared_ptr<host>& self) {
     return {object_kind::targets,
             {},
             [self](std::span<const stored_object> all) {
@@ -220,9 +224,9 @@
 }
 
 /// Only the host that gives orders to targets, and one that may have to take over, needs versions.
-followed watch_versions(const std::shared_ptr<host>& self) {
-    auto out = apply_each(self, object_kind::versions, no_pause, apply_version);
-    out.wanted = [self] { return self->wants_versions; };
+watched_kind watch_versions(const std::shared_ptr<host>& self) {
+    auto out = apply_each(self, object_kind::versions, no_delay, apply_version);
+    out.is_needed = [self] { return self->sends_load_orders; };
     return out;
 }
 
@@ -235,11 +239,11 @@
 loop::task<void> start_watches(std::shared_ptr<host> self) {
     loop::asio::co_spawn(self->io, announce_host(self), loop::asio::detached);
     const auto configuration =
-        apply_each(self, object_kind::configuration, no_pause, apply_configuration);
+        apply_each(self, object_kind::configuration, no_delay, apply_configuration);
     loop::asio::co_spawn(self->io, list_once(self, list_targets_once(self), true),
                          loop::asio::detached);
     // With strict revocation, keys must not be checked against data of unknown age.
-    const bool may_be_stale = !self->settings.revocation;
+    const bool may_be_stale = !self->settings.revocation_bound;
     co_await list_once(self, configuration, may_be_stale);
     const bool has_configuration = self->routes != nullptr;
     if (!has_configuration) {
@@ -253,12 +257,12 @@
     }
     start_watch(self, watch_versions(self));
     start_watch(self, watch_targets(self));
-    start_watch(self, follow_retirements(self));
+    start_watch(self, watch_retirements(self));
 }
 
 } // namespace
 
-void follow_platform(const std::shared_ptr<host>& self) {
+void start_platform_watches(const std::shared_ptr<host>& self) {
     loop::asio::co_spawn(self->io, start_watches(self), loop::asio::detached);
 }
 
--- a/src/front/follower.hpp
+++ b/src/front/follower.hpp
@@ -8,6 +8,6 @@
 
 /// Announces this host to its peers and starts to watch the objects in the platform's store that
 /// operators, targets, trainers and peers write: each kind is listed, then watched for changes.
-void follow_platform(const std::shared_ptr<host>& self);
+void start_platform_watches(const std::shared_ptr<host>& self);
 
 } // namespace cornelloom::front
--- a/src/front/gateway.cpp
+++ b/src/front/gateway.cpp
@@ -17,13 +17,13 @@
 namespace {
 
 /// Time limit of a request whose caller sets none.
-constexpr milliseconds default_time_limit{60000};
+constexpr milliseconds default_timeout{60000};
 /// Upper bound for the wait time that a peer may request for a relayed store call, such as a watch.
 constexpr milliseconds max_relay_wait{30000};
 
 time_point deadline_of(const host& self, const route& request_route,
                        const caller_request& request_info) {
-    auto limit = request_info.time_left.value_or(default_time_limit);
+    auto limit = request_info.time_left.value_or(default_timeout);
     if (request_route.timeout > milliseconds::zero()) {
         limit = std::min(limit, request_route.timeout);
     }
@@ -34,20 +34,20 @@
                                const caller_request& request_info, plain_outcome outcome,
                                time_point started, time_point deadline) {
     const double duration_ms = ms_between(started, self->now());
-    if (outcome.what == plain_outcome::state::answered) {
+    if (outcome.result == plain_outcome::state::answered) {
         self->metrics.record("cornelloom_request_seconds", duration_ms / 1000);
-        note(*self, request_answered,
-             {{"id", request_info.id},
-              {"status", outcome.answer.status},
-              {"sends", outcome.sends},
-              {"ms", duration_ms}});
-        outcome.answer.headers = self->wire.answer_headers(outcome.answer.headers);
+        log_event(*self, request_answered,
+                  {{"id", request_info.id},
+                   {"status", outcome.answer.status},
+                   {"sends", outcome.sends},
+                   {"ms", duration_ms}});
+        outcome.answer.headers = self->platform_adapter.answer_headers(outcome.answer.headers);
         co_await request.answer(std::move(outcome.answer));
         co_return;
     }
     const auto reason = outcome.reason.empty() ? std::string("no_target") : outcome.reason;
-    if (outcome.what == plain_outcome::state::not_run) {
-        co_await refuse(*self, request, request_info.id, reason, come_back_soon);
+    if (outcome.result == plain_outcome::state::not_run) {
+        co_await refuse(*self, request, request_info.id, reason, no_target_retry_delay);
     } else {
         co_await fail(*self, request, request_info.id, reason, self->now() >= deadline);
     }
@@ -61,7 +61,7 @@
     call.id = request_info.id;
     call.service = choose_service(request_route, request_info.id);
     call.idempotent = request_route.kind == route_kind::safe;
-    call.runs_most = request_route.attempts;
+    call.max_runs = request_route.attempts;
     call.objective = request_route.objective;
     call.deadline = deadline_of(*self, request_route, request_info);
     const auto deadline = call.deadline;
@@ -69,21 +69,21 @@
     // message.
     const auto message =
         std::make_shared<const transport::http_request>(std::move(request.message));
-    call.make = [self, message, account](const forward_terms& terms) {
+    call.build_request = [self, message, account](const forward_options& terms) {
         auto terms_with_account = terms;
         terms_with_account.account = account;
-        return self->wire.forward(*message, terms_with_account);
+        return self->platform_adapter.forward(*message, terms_with_account);
     };
     auto control = std::make_shared<call_control>();
     request.on_gone([control] { control->cancel(); });
-    auto outcome = co_await run_plain(self, std::move(call), control);
+    auto outcome = co_await run_plain_call(self, std::move(call), control);
     request.on_gone({});
     if (outcome.started_at) {
         count_usage(*self, account, *outcome.started_at);
     }
     if (request.gone()) {
-        note(*self, caller_left,
-             {{"id", request_info.id}, {"ms", ms_between(started, self->now())}});
+        log_event(*self, caller_left,
+                  {{"id", request_info.id}, {"ms", ms_between(started, self->now())}});
         request.abandon();
         co_return;
     }
@@ -91,10 +91,10 @@
 }
 
 loop::task<void> relay_store_call(std::shared_ptr<host> self, loop::served_request& request) {
-    const auto text = transport::find_header(request.message.headers, patience_header).value_or("");
+    const auto text = transport::find_header(request.message.headers, timeout_header).value_or("");
     const auto requested = milliseconds(kernel::parse_integer<std::int64_t>(text).value_or(0));
-    const auto wait_limit = std::clamp(requested, store_call_limit, max_relay_wait);
-    auto answer = co_await relay_call(self->store, request.message, wait_limit);
+    const auto relay_timeout = std::clamp(requested, store_call_timeout, max_relay_wait);
+    auto answer = co_await relay_call(self->store, request.message, relay_timeout);
     co_await request.answer(std::move(answer));
 }
 
@@ -107,7 +107,7 @@
         if (decision != startup_decision::wait) {
             co_return decision == startup_decision::serve;
         }
-        co_await self->learned.wait(to_deadline(*self, arrived_at + max_startup_wait));
+        co_await self->startup_changed.wait(to_deadline(*self, arrived_at + max_startup_wait));
     }
 }
 
@@ -123,14 +123,14 @@
         break;
     case access_verdict::granted:
     case access_verdict::configuration_stale:
-        co_await refuse(self, request, id, "configuration_stale", come_back_later);
+        co_await refuse(self, request, id, "configuration_stale", unavailable_retry_delay);
         break;
     }
 }
 
-loop::task<void> serve_route(std::shared_ptr<batch_desk> registry, loop::served_request& request,
-                             route request_route, caller_request request_info,
-                             std::optional<std::string> account) {
+loop::task<void> serve_route(std::shared_ptr<batch_registry> registry,
+                             loop::served_request& request, route request_route,
+                             caller_request request_info, std::optional<std::string> account) {
     auto self = registry->self;
     switch (request_route.kind) {
     case route_kind::rollout:
@@ -152,21 +152,22 @@
 
 } // namespace
 
-loop::task<void> serve_caller(std::shared_ptr<batch_desk> registry, loop::served_request& request) {
+loop::task<void> serve_caller(std::shared_ptr<batch_registry> registry,
+                              loop::served_request& request) {
     auto self = registry->self;
-    auto request_info = self->wire.request(request.message);
+    auto request_info = self->platform_adapter.request(request.message);
     if (self->refusing_requests) {
         co_await refuse(*self, request, request_info.id, "shutting_down", milliseconds(0));
         co_return;
     }
     const bool ready = co_await wait_for_start(self);
     if (!ready) {
-        co_await refuse(*self, request, request_info.id, "not_ready", come_back_later);
+        co_await refuse(*self, request, request_info.id, "not_ready", unavailable_retry_delay);
         co_return;
     }
     // Calls on batches share their paths with the routes; a matching route takes precedence.
     const auto* matched_route = find_route(*self->routes, request_info.host, request.message.path);
-    auto call = self->wire.batch(request.message);
+    auto call = self->platform_adapter.batch(request.message);
     const bool is_batch_call = matched_route == nullptr && call.has_value();
     const auto purpose =
         is_batch_call ? access_purpose::existing_batch : access_purpose::new_request;
@@ -189,7 +190,8 @@
     co_await serve_route(registry, request, request_route, request_info, access.account);
 }
 
-loop::task<void> serve_peer(std::shared_ptr<batch_desk> registry, loop::served_request& request) {
+loop::task<void> serve_peer(std::shared_ptr<batch_registry> registry,
+                            loop::served_request& request) {
     auto self = registry->self;
     auto& message = request.message;
     const auto query = [&message](std::string_view name) {
@@ -207,9 +209,9 @@
         co_await serve_feed(self, request);
         co_return;
     }
-    if (message.path.starts_with(passed_path)) {
-        message.path.erase(0, passed_path.size());
-        if (auto call = self->wire.batch(message)) {
+    if (message.path.starts_with(forward_path)) {
+        message.path.erase(0, forward_path.size());
+        if (auto call = self->platform_adapter.batch(message)) {
             call->account = transport::find_header(message.headers, account_header).value_or("");
             co_await serve_batch_call(registry, request, *call, true);
             co_return;
@@ -223,7 +225,7 @@
         status = 200;
     } else if (message.path == owner_path) {
         if (const auto address = transport::parse_endpoint(query("at"))) {
-            note_owner(*registry, query("id"), address.value());
+            record_owner(*registry, query("id"), address.value());
             status = 200;
         }
     }
--- a/src/front/gateway.hpp
+++ b/src/front/gateway.hpp
@@ -10,9 +10,11 @@
 
 /// Handles one request of a caller: a batch submission, a call on an existing batch, or a request
 /// that is forwarded to a target.
-loop::task<void> serve_caller(std::shared_ptr<batch_desk> registry, loop::served_request& request);
+loop::task<void> serve_caller(std::shared_ptr<batch_registry> registry,
+                              loop::served_request& request);
 
 /// Handles one request of another host.
-loop::task<void> serve_peer(std::shared_ptr<batch_desk> registry, loop::served_request& request);
+loop::task<void> serve_peer(std::shared_ptr<batch_registry> registry,
+                            loop::served_request& request);
 
 } // namespace cornelloom::front
--- a/src/front/host.cpp
+++ b/src/front/host.cpp
@@ -8,7 +8,7 @@
 
 namespace cornelloom::front {
 
-const adapter& the_adapter() {
+const adapter& linked_adapter() {
     const auto* found = kernel::plugin_registry<adapter>::instance().find("platform");
     if (found == nullptr) {
         std::cerr << "cornelloom: no platform adapter is linked into this program\n";
@@ -18,24 +18,25 @@
 }
 
 host::host(loop::io_context& loop, const adapter& platform, host_settings loaded_settings)
-    : io(loop), wire(platform), settings(std::move(loaded_settings)), connections(loop),
+    : io(loop), platform_adapter(platform), settings(std::move(loaded_settings)), connections(loop),
       store(connections, settings.platform),
       random(kernel::hash64(settings.host) ^ static_cast<std::uint64_t>(clock.wall_now().unix_ms)),
-      learned(loop), kept(loop), lead(loop) {
+      startup_changed(loop), caches(loop), lead(loop) {
     if (settings.duties) {
-        usage.length = settings.duties->usage_window;
-        demand.length = settings.duties->usage_window;
+        usage.window_length = settings.duties->usage_window;
+        demand.window_length = settings.duties->usage_window;
     }
 }
 
-loop::milliseconds store_pause(host& self, loop::milliseconds max_delay) {
-    return pause_after(self.store.ways, max_delay, std::uniform_real_distribution<>()(self.random));
+loop::milliseconds store_retry_delay(host& self, loop::milliseconds max_delay) {
+    return retry_delay(self.store.paths, max_delay,
+                       std::uniform_real_distribution<>()(self.random));
 }
 
-void note_confirmed(host& self, object_kind kind, time_point when) {
-    if (kind == object_kind::configuration && self.configuration_sound) {
-        self.configuration_as_of = std::max(self.configuration_as_of, when);
-        self.learned.open();
+void record_confirmed(host& self, object_kind kind, time_point when) {
+    if (kind == object_kind::configuration && self.configuration_valid) {
+        self.configuration_confirmed_at = std::max(self.configuration_confirmed_at, when);
+        self.startup_changed.open();
     }
 }
 
@@ -49,23 +50,24 @@
         return;
     }
     const auto ago = std::chrono::duration_cast<milliseconds>(self.now() - when);
-    add_one(self.usage, counter_name(self), *account, self.clock.wall_now().unix_ms - ago.count());
+    increment(self.usage, counter_name(self), *account,
+              self.clock.wall_now().unix_ms - ago.count());
 }
 
 milliseconds configuration_age(const host& self) {
-    if (self.configuration_as_of == time_point{}) {
+    if (self.configuration_confirmed_at == time_point{}) {
         return milliseconds::max();
     }
     return std::chrono::duration_cast<milliseconds>(self.clock.boot_now() -
-                                                    self.configuration_as_of);
+                                                    self.configuration_confirmed_at);
 }
 
-host_entry own_entry(const host& self) {
+host_entry host_entry_of(const host& self) {
     const auto& settings = self.settings;
-    return {settings.host, settings.zone, settings.peers, settings.processor};
+    return {settings.host, settings.zone, settings.peer_endpoint, settings.cpu_share};
 }
 
-void note(host& self, const kernel::event& kind, std::initializer_list<kernel::field> fields) {
+void log_event(host& self, const kernel::event& kind, std::initializer_list<kernel::field> fields) {
     auto& rate = self.line_rates[kind.number];
     const auto now = self.now();
     if (now - rate.window_start >= std::chrono::seconds(1)) {
--- a/src/front/host.hpp
+++ b/src/front/host.hpp
@@ -25,34 +25,36 @@
 namespace cornelloom::front {
 
 /// Cached objects of one kind, which this host passes on to other hosts of its zone.
-struct kept_kind {
-    explicit kept_kind(loop::io_context& loop) : changed(loop) {}
+struct feed_cache {
+    explicit feed_cache(loop::io_context& loop) : changed(loop) {}
 
-    struct step {
+    struct change_set {
         std::uint64_t at = 0;
         std::vector<object_change> changes;
     };
 
     std::map<std::string, stored_object, std::less<>> objects{};
-    std::deque<step> recent{}; ///< Changes after the oldest known revision, in order.
-    std::uint64_t oldest = 0;  ///< Revision before the first change in `recent`.
-    std::uint64_t at = 0;      ///< Store revision of the cached objects; 0: none cached.
-    bool live = false;         ///< This host is watching the store for this kind.
+    std::deque<change_set> history{}; ///< Changes after the oldest known revision, in order.
+    std::uint64_t history_start = 0;  ///< Revision before the first change in `history`.
+    std::uint64_t at = 0;             ///< Store revision of the cached objects; 0: none cached.
+    bool watching = false;            ///< This host is watching the store for this kind.
     /// Encoded answers of one store revision, by the revision that they start from.
     std::map<std::uint64_t, std::string> encoded{};
-    std::uint64_t encoded_at = 0; ///< That store revision.
-    time_point asked{};           ///< When this host last had no answer for a host of its zone.
-    loop::gate changed;           ///< Opened when any of the above changes.
+    std::uint64_t encoded_revision = 0; ///< That store revision.
+    time_point last_unserved_poll{}; ///< When this host last had no answer for a host of its zone.
+    loop::gate changed;              ///< Opened when any of the above changes.
 };
 
 /// Cached objects by kind. An entry is created on first use.
-struct object_cache {
-    explicit object_cache(loop::io_context& loop) : io(&loop) {}
+struct feed_caches {
+    explicit feed_caches(loop::io_context& loop) : io(&loop) {}
 
     loop::io_context* io;
-    std::map<object_kind, kept_kind> by_kind{};
+    std::map<object_kind, feed_cache> by_kind{};
 
-    kept_kind& operator[](object_kind kind) { return by_kind.try_emplace(kind, *io).first->second; }
+    feed_cache& operator[](object_kind kind) {
+        return by_kind.try_emplace(kind, *io).first->second;
+    }
 
     auto find(object_kind kind) { return by_kind.find(kind); }
 
@@ -64,7 +66,7 @@
     host(loop::io_context& loop, const adapter& platform, host_settings loaded_settings);
 
     loop::io_context& io;
-    const adapter& wire;
+    const adapter& platform_adapter;
     host_settings settings;
     kernel::runtime_clock clock{};
     kernel::metrics metrics{};
@@ -76,22 +78,23 @@
     time_point started = clock.now();            ///< Start of this process.
     bool targets_listed = false;                 ///< The list was read since the start.
     bool store_failed = false;                   ///< A call got no answer since the start.
-    loop::gate learned;                          ///< Opened when `startup_state_of` changes.
+    loop::gate startup_changed;                  ///< Opened when `startup_state_of` changes.
     std::shared_ptr<const route_index> routes{}; ///< Null until a configuration has been read.
     target_table targets{};
     length_models lengths{};
-    std::map<std::string, int, std::less<>> named_versions{}; ///< By model.
-    host_entries peers{};                                     ///< The other hosts.
+    std::map<std::string, int, std::less<>> published_versions{}; ///< By model.
+    host_entries peers{};                                         ///< The other hosts.
     /// When the known configuration was last confirmed to be the newest in the store, as a time of
     /// `boot_now`; zero: never.
-    time_point configuration_as_of{};
-    bool configuration_sound = true; ///< False if the newest version could not be parsed.
-    object_cache kept;
+    time_point configuration_confirmed_at{};
+    bool configuration_valid = true; ///< False if the newest version could not be parsed.
+    feed_caches caches;
     avoided_feeders avoided{};
     leadership lead;
-    window_counts usage{};       ///< Requests that started to run, by client account.
-    window_counts demand{};      ///< Items in progress concurrently, by service.
-    bool wants_versions = false; ///< This host sends load orders to targets, or may soon have to.
+    window_counts usage{};  ///< Requests that started to run, by client account.
+    window_counts demand{}; ///< Items in progress concurrently, by service.
+    bool sends_load_orders =
+        false; ///< This host sends load orders to targets, or may soon have to.
     bool stopping = false;
     bool refusing_requests =
         false;         ///< New requests are refused because the process is about to exit.
@@ -107,7 +110,9 @@
 
     [[nodiscard]] time_point now() const { return clock.now(); }
 
-    [[nodiscard]] distance here() const { return {salt, settings.zone, &settings.region_of_zone}; }
+    [[nodiscard]] host_location here() const {
+        return {salt, settings.zone, &settings.region_of_zone};
+    }
 };
 
 /// Maximum number of log lines per event and second. A busy day has under fifty; the limit bounds
@@ -115,17 +120,18 @@
 inline constexpr std::uint64_t max_lines_per_second = 100;
 
 /// Logs an event unless it has reached its rate limit in the current second.
-void note(host& self, const kernel::event& kind, std::initializer_list<kernel::field> fields);
+void log_event(host& self, const kernel::event& kind, std::initializer_list<kernel::field> fields);
 
 /// What this host has read from the store since its start.
 [[nodiscard]] inline startup_state startup_state_of(const host& self) {
-    const bool confirmed = !self.settings.revocation || self.configuration_as_of != time_point{};
+    const bool confirmed =
+        !self.settings.revocation_bound || self.configuration_confirmed_at != time_point{};
     return {self.routes != nullptr && confirmed, self.targets_listed, self.store_failed};
 }
 
 /// Records that this host's objects of the kind were the newest in the store at `when`, a time of
 /// `boot_now`.
-void note_confirmed(host& self, object_kind kind, time_point when);
+void record_confirmed(host& self, object_kind kind, time_point when);
 
 /// Name under which this process counts requests; it differs after each start.
 [[nodiscard]] std::string counter_name(const host& self);
@@ -136,11 +142,11 @@
 /// Upper bound of the age of the configuration that this host knows.
 [[nodiscard]] milliseconds configuration_age(const host& self);
 
-/// How long to wait before the next store call after a failure; see `pause_after`.
-[[nodiscard]] loop::milliseconds store_pause(host& self, loop::milliseconds max_delay);
+/// How long to wait before the next store call after a failure; see `retry_delay`.
+[[nodiscard]] loop::milliseconds store_retry_delay(host& self, loop::milliseconds max_delay);
 
 /// This host's entry in the list of hosts.
-[[nodiscard]] host_entry own_entry(const host& self);
+[[nodiscard]] host_entry host_entry_of(const host& self);
 
 [[nodiscard]] inline double ms_between(time_point from, time_point to) {
     return std::chrono::duration<double, std::milli>(to - from).count();
--- a/src/front/item_run.cpp
+++ b/src/front/item_run.cpp
@@ -37,13 +37,13 @@
     auto& item = batch.state.items[index];
     if (item.phase == item_phase::running) {
         item.phase = item_phase::waiting;
-        item.not_before = std::max(item.not_before, batch.self->now() + retry_delay);
+        item.not_before = std::max(item.not_before, batch.local_host->now() + retry_delay);
     }
 }
 
 /// Appends an event to the item's text. Returns false if the event id is not the next one.
 bool append_event(live_batch& batch, std::size_t index, const stream_event& event, int version) {
-    auto& partial = batch.state.items[index].done;
+    auto& partial = batch.state.items[index].output;
     if (event.id != partial.last_event + 1) {
         return false;
     }
@@ -59,17 +59,17 @@
 }
 
 void record_event(live_batch& batch, item_run& run) {
-    const auto now = batch.self->now();
-    const auto run_target = batch.self->targets.by_id.find(run.target);
-    if (run.events > 0 && run_target != batch.self->targets.by_id.end()) {
-        note_event_gap(run_target->second, ms_between(run.last_event, now));
+    const auto now = batch.local_host->now();
+    const auto run_target = batch.local_host->targets.by_id.find(run.target);
+    if (run.events > 0 && run_target != batch.local_host->targets.by_id.end()) {
+        record_event_interval(run_target->second, ms_between(run.last_event, now));
     }
     run.last_event = now;
     if (run.events == 0) {
         run.first_event = now;
     }
-    if (run.events == 0 && run_target != batch.self->targets.by_id.end()) {
-        --run_target->second.unstarted;
+    if (run.events == 0 && run_target != batch.local_host->targets.by_id.end()) {
+        --run_target->second.awaiting_first_event;
         batch.changed.open(); // the target can accept the next waiting item
     }
     ++run.events;
@@ -82,28 +82,28 @@
     if (version < batch.state.spec.oldest_version) {
         return false;
     }
-    return !item_route.single_version || item.done.versions.empty() ||
-           contains(item.done.versions, version);
+    return !item_route.single_version || item.output.versions.empty() ||
+           contains(item.output.versions, version);
 }
 
 loop::task<run_result> read_events(live_batch_ptr batch, std::size_t index, route item_route,
                                    int version) {
     auto& run = batch->runs.at(index);
-    auto connection = run.link;
+    auto exchange = run.exchange;
     std::string buffer;
     std::string chunk;
-    while (!connection->complete()) {
+    while (!exchange->complete()) {
         // No timeout here: evaluate_run() detects silent targets and takes their load into account.
-        const auto fault = co_await connection->read_piece(loop::deadline::max(), chunk);
+        const auto fault = co_await exchange->read_piece(loop::deadline::max(), chunk);
         if (fault != loop::exchange_fault::none) {
             co_return run_result{run_outcome::retry, std::string(to_string(fault))};
         }
         buffer += chunk;
-        for (const auto& event : batch->self->wire.events(buffer)) {
+        for (const auto& event : batch->local_host->platform_adapter.events(buffer)) {
             version = event.version > 0 ? event.version : version;
             auto& item = batch->state.items[index];
             if (!may_continue_text(*batch, item_route, item, version)) {
-                item.done = {};
+                item.output = {};
                 co_return run_result{run_outcome::retry, "version " + std::to_string(version)};
             }
             if (!append_event(*batch, index, event, version)) {
@@ -118,7 +118,7 @@
 
 run_result handle_error_status(live_batch& batch, std::size_t index, const target_answer& reply,
                                int status) {
-    auto& self = *batch.self;
+    auto& self = *batch.local_host;
     const auto reason = "status " + std::to_string(status);
     const auto found = self.targets.by_id.find(batch.runs.at(index).target);
     if (reply.not_run || status == 421) {
@@ -129,7 +129,7 @@
                 target.loading_until[batch.state.spec.items[index].model] =
                     self.now() + loading_retry_delay;
             } else {
-                note_full(target, self.now());
+                record_rejection(target, self.now());
             }
         }
         return {run_outcome::retry, "not run, " + reason};
@@ -141,56 +141,58 @@
 }
 
 /// The client account to forward to targets, if the configuration uses accounts; see
-/// `forward_terms`.
+/// `forward_options`.
 std::optional<std::string> forwarded_account(const live_batch& batch) {
-    const bool accounts_in_use = batch.self->routes && batch.self->routes->source.accounts;
+    const bool accounts_in_use =
+        batch.local_host->routes && batch.local_host->routes->config.accounts;
     return accounts_in_use ? std::optional(batch.state.header.account) : std::nullopt;
 }
 
 loop::task<run_result> send_item(live_batch_ptr batch, std::size_t index, route item_route) {
-    auto self = batch->self;
-    auto connection = batch->runs.at(index).link;
+    auto self = batch->local_host;
+    auto exchange = batch->runs.at(index).exchange;
     const auto& item = batch->state.spec.items[index];
-    auto fault = co_await connection->open(loop::after(connect_timeout), true);
+    auto fault = co_await exchange->open(loop::after(connect_timeout), true);
     if (fault != loop::exchange_fault::none) {
         co_return run_result{run_outcome::retry, std::string(to_string(fault))};
     }
     const auto time_left = std::chrono::duration_cast<milliseconds>(
         batch->state.submitted + item_route.retention - self->now());
-    const forward_terms terms{batch->runs.at(index).target, time_left,
-                              batch->state.items[index].done.last_event, forwarded_account(*batch)};
-    const auto message = self->wire.item(item, batch->state.header.host, terms);
-    fault = co_await connection->send(message, loop::after(connect_timeout * 4));
+    const forward_options terms{batch->runs.at(index).target, time_left,
+                                batch->state.items[index].output.last_event,
+                                forwarded_account(*batch)};
+    const auto message = self->platform_adapter.item(item, batch->state.header.host, terms);
+    fault = co_await exchange->send(message, loop::after(connect_timeout * 4));
     if (fault == loop::exchange_fault::none) {
-        fault = co_await connection->read_head(loop::deadline::max());
+        fault = co_await exchange->read_head(loop::deadline::max());
     }
     if (fault != loop::exchange_fault::none) {
         co_return run_result{run_outcome::retry, std::string(to_string(fault))};
     }
-    const auto reply = self->wire.answer(connection->headers());
+    const auto reply = self->platform_adapter.answer(exchange->headers());
     if (!reply.request_id.empty() && reply.request_id != item.id) {
         co_return run_result{run_outcome::retry, "answer to another request"};
     }
-    if (connection->status() != 200) {
-        const int status = connection->status();
+    if (exchange->status() != 200) {
+        const int status = exchange->status();
         std::string discarded_body; // read only so that the connection can be reused
         const auto drain_fault =
-            co_await connection->read_rest(loop::after(connect_timeout), discarded_body, 1U << 20U);
+            co_await exchange->read_rest(loop::after(connect_timeout), discarded_body, 1U << 20U);
         if (drain_fault == loop::exchange_fault::none) {
-            connection->finish();
+            exchange->finish();
         }
         co_return handle_error_status(*batch, index, reply, status);
     }
     if (reply.version > 0 &&
         !may_continue_text(*batch, item_route, batch->state.items[index], reply.version)) {
         if (reply.version >= batch->state.spec.oldest_version) {
-            batch->state.items[index].done = {};
+            batch->state.items[index].output = {};
         }
         co_return run_result{run_outcome::retry, "version " + std::to_string(reply.version)};
     }
     auto result = co_await read_events(batch, index, item_route, reply.version);
     if (result.kind == run_outcome::complete) {
-        connection->finish();
+        exchange->finish();
     }
     co_return result;
 }
@@ -198,55 +200,55 @@
 /// Updates the length estimates for the model with a finished text.
 void record_text_length(live_batch& batch, std::size_t index) {
     const auto& item = batch.state.spec.items[index];
-    const auto events = static_cast<double>(batch.state.items[index].done.last_event);
-    record_length(batch.self->lengths[item.model], item.tokens_out_hint, events);
+    const auto events = static_cast<double>(batch.state.items[index].output.last_event);
+    record_length(batch.local_host->lengths[item.model], item.expected_output_tokens, events);
 }
 
 void record_run_end(live_batch& batch, std::size_t index, const run_result& result) {
-    auto& self = *batch.self;
+    auto& self = *batch.local_host;
     const auto& run = batch.runs.at(index);
     const auto found = self.targets.by_id.find(run.target);
     if (found != self.targets.by_id.end()) {
         auto& target = found->second;
         target.running = std::max(0, target.running - 1);
-        target.unstarted -= run.events == 0 ? 1 : 0;
-        const bool target_failed = result.kind == run_outcome::retry && !run.moving &&
+        target.awaiting_first_event -= run.events == 0 ? 1 : 0;
+        const bool target_failed = result.kind == run_outcome::retry && !run.being_moved &&
                                    !result.reason.starts_with("not run") &&
                                    !result.reason.starts_with("version");
         if (target_failed && batch.owned && !is_over(batch.state)) {
-            note_fault(target, self.now());
+            record_request_failure(target, self.now());
         }
     }
     if (result.kind == run_outcome::complete) {
         record_text_length(batch, index);
-        note(self, item_texted,
-             {{"id", batch.state.spec.items[index].id},
-              {"batch", batch.state.header.id},
-              {"target", run.target},
-              {"events", run.events},
-              {"hint", batch.state.spec.items[index].tokens_out_hint},
-              {"most", batch.state.spec.items[index].tokens_out_most},
-              {"first_ms", ms_between(run.sent, run.first_event)},
-              {"ms", ms_between(run.sent, self.now())},
-              {"age_ms", ms_between(batch.state.submitted, self.now())}});
+        log_event(self, item_texted,
+                  {{"id", batch.state.spec.items[index].id},
+                   {"batch", batch.state.header.id},
+                   {"target", run.target},
+                   {"events", run.events},
+                   {"hint", batch.state.spec.items[index].expected_output_tokens},
+                   {"most", batch.state.spec.items[index].max_output_tokens},
+                   {"first_ms", ms_between(run.sent, run.first_event)},
+                   {"ms", ms_between(run.sent, self.now())},
+                   {"age_ms", ms_between(batch.state.submitted, self.now())}});
     } else {
-        note(self, item_run_ended,
-             {{"id", batch.state.spec.items[index].id},
-              {"batch", batch.state.header.id},
-              {"target", run.target},
-              {"why", run.moving ? "moved" : result.reason},
-              {"events", batch.state.items[index].done.last_event},
-              {"ms", ms_between(run.sent, self.now())}});
+        log_event(self, item_run_ended,
+                  {{"id", batch.state.spec.items[index].id},
+                   {"batch", batch.state.header.id},
+                   {"target", run.target},
+                   {"why", run.being_moved ? "moved" : result.reason},
+                   {"events", batch.state.items[index].output.last_event},
+                   {"ms", ms_between(run.sent, self.now())}});
     }
 }
 
 void record_result(live_batch& batch, item_result result) {
-    finish_item(batch.state, std::move(result), batch.self->now());
+    finish_item(batch.state, std::move(result), batch.local_host->now());
     batch.changed.open();
 }
 
 item_result completed_result(const live_batch& batch, std::size_t index) {
-    const auto& partial = batch.state.items[index].done;
+    const auto& partial = batch.state.items[index].output;
     item_result final_result;
     final_result.id = batch.state.spec.items[index].id;
     final_result.completed = true;
@@ -256,13 +258,13 @@
 }
 
 void record_score(live_batch& batch, std::size_t index, int sends, double duration_ms) {
-    batch.self->metrics.record("cornelloom_score_seconds", duration_ms / 1000);
-    note(*batch.self, item_scored,
-         {{"id", batch.state.spec.items[index].id},
-          {"batch", batch.state.header.id},
-          {"sends", sends},
-          {"ms", duration_ms},
-          {"age_ms", ms_between(batch.state.submitted, batch.self->now())}});
+    batch.local_host->metrics.record("cornelloom_score_seconds", duration_ms / 1000);
+    log_event(*batch.local_host, item_scored,
+              {{"id", batch.state.spec.items[index].id},
+               {"batch", batch.state.header.id},
+               {"sends", sends},
+               {"ms", duration_ms},
+               {"age_ms", ms_between(batch.state.submitted, batch.local_host->now())}});
 }
 
 void record_failure(live_batch& batch, std::size_t index, const route& item_route,
@@ -279,40 +281,41 @@
 } // namespace
 
 void give_up_item(live_batch& batch, std::size_t index, std::string_view reason) {
-    note(*batch.self, item_given_up,
-         {{"id", batch.state.spec.items[index].id},
-          {"batch", batch.state.header.id},
-          {"why", reason},
-          {"failures", batch.state.items[index].failures},
-          {"age_ms", ms_between(batch.state.submitted, batch.self->now())}});
+    log_event(*batch.local_host, item_given_up,
+              {{"id", batch.state.spec.items[index].id},
+               {"batch", batch.state.header.id},
+               {"why", reason},
+               {"failures", batch.state.items[index].failures},
+               {"age_ms", ms_between(batch.state.submitted, batch.local_host->now())}});
     item_result final_result;
     final_result.id = batch.state.spec.items[index].id;
-    final_result.text = batch.state.items[index].done.text;
-    final_result.versions = batch.state.items[index].done.versions;
+    final_result.text = batch.state.items[index].output.text;
+    final_result.versions = batch.state.items[index].output.versions;
     record_result(batch, std::move(final_result));
 }
 
 loop::task<void> run_item(live_batch_ptr batch, std::size_t index, std::string target_id) {
-    auto self = batch->self;
+    auto self = batch->local_host;
     const auto* found_route = route_of_item(*batch, batch->state.spec.items[index]);
     const auto target = self->targets.by_id.find(target_id);
     if (found_route == nullptr || target == self->targets.by_id.end()) {
         if (target != self->targets.by_id.end()) {
             --target->second.running;
-            --target->second.unstarted;
+            --target->second.awaiting_first_event;
         }
         requeue_item(*batch, index);
         co_return;
     }
     const route item_route = *found_route;
     item_run run;
-    run.link = std::make_shared<loop::exchange>(self->connections, target->second.entry.where);
+    run.exchange =
+        std::make_shared<loop::exchange>(self->connections, target->second.entry.address);
     run.target = target_id;
     run.sent = run.last_event = self->now();
     batch->runs.insert_or_assign(index, run);
     batch->state.items[index].last_target = target_id;
     const auto result = co_await send_item(batch, index, item_route);
-    run.link->abort();
+    run.exchange->abort();
     record_run_end(*batch, index, result);
     batch->runs.erase(index);
     if (batch->state.items[index].phase != item_phase::running) {
@@ -321,7 +324,7 @@
     switch (result.kind) {
     case run_outcome::complete:
         batch->state.items[index].phase = item_phase::scoring;
-        batch->state.items[index].done.whole = true;
+        batch->state.items[index].output.whole = true;
         batch->changed.open();
         co_await score_item(batch, index);
         break;
@@ -339,7 +342,7 @@
 }
 
 loop::task<void> score_item(live_batch_ptr batch, std::size_t index) {
-    auto self = batch->self;
+    auto self = batch->local_host;
     const auto scoring = batch->state.spec.items[index].scoring;
     if (!scoring) {
         record_result(*batch, completed_result(*batch, index));
@@ -361,31 +364,31 @@
         call.id = scoring->id;
         call.service = choose_service(*scoring_route, scoring->id);
         call.idempotent = true;
-        call.runs_most = scoring_route->attempts;
+        call.max_runs = scoring_route->attempts;
         call.objective = scoring_route->objective;
         call.deadline = self->now() + scoring_timeout;
         const bool near_deadline = self->now() + near_deadline_window >= deadline_of(*batch);
-        call.hedge_factor = near_deadline ? early_hedge_factor : usual_hedge_factor;
-        call.make = [self, scoring](const forward_terms& terms) {
-            return self->wire.scoring(*scoring, terms);
+        call.hedge_factor = near_deadline ? short_hedge_factor : default_hedge_factor;
+        call.build_request = [self, scoring](const forward_options& terms) {
+            return self->platform_adapter.scoring(*scoring, terms);
         };
         const auto* batch_route = route_of(*batch);
         const int max_failures =
             std::max(scoring_route->attempts, batch_route != nullptr ? batch_route->attempts : 1);
         const auto control = std::make_shared<call_control>();
-        batch->scorings.insert_or_assign(index, control);
-        auto outcome = co_await run_plain(self, std::move(call), control);
-        batch->scorings.erase(index);
+        batch->scoring_calls.insert_or_assign(index, control);
+        auto outcome = co_await run_plain_call(self, std::move(call), control);
+        batch->scoring_calls.erase(index);
         if (batch->state.items[index].phase != item_phase::scoring) {
             co_return;
         }
         sends += outcome.sends;
         const int status = outcome.answer.status;
-        const bool success = outcome.what == plain_outcome::state::answered && status >= 200 &&
-                             status < 300 && outcome.facts.stamped;
+        const bool success = outcome.result == plain_outcome::state::answered && status >= 200 &&
+                             status < 300 && outcome.answer_info.stamped;
         if (success) {
             auto result = completed_result(*batch, index);
-            result.score = outcome.facts.stamp;
+            result.score = outcome.answer_info.stamp;
             result.scored = true;
             record_score(*batch, index, sends, ms_between(text_completed, self->now()));
             record_result(*batch, std::move(result));
--- a/src/front/leadership.cpp
+++ b/src/front/leadership.cpp
@@ -22,8 +22,8 @@
 
 /// Whether there is anything for a leader to do.
 bool has_leader_work(const host& self) {
-    const bool loads =
-        std::ranges::any_of(self.named_versions, [](const auto& each) { return each.second > 1; });
+    const bool loads = std::ranges::any_of(self.published_versions,
+                                           [](const auto& each) { return each.second > 1; });
     return loads || self.settings.duties.has_value();
 }
 
@@ -35,19 +35,19 @@
     record_lease_read(view, object.revision, record.holder, self.clock.boot_now());
     self.lead.loads_at_once = record.loads_at_once;
     if (before != view.holder) {
-        note(self, order_lease_changed,
-             {{"holder", view.holder}, {"before", before}, {"revision", object.revision}});
+        log_event(self, order_lease_changed,
+                  {{"holder", view.holder}, {"before", before}, {"revision", object.revision}});
     }
 }
 
 loop::task<void> read_lease(std::shared_ptr<host> self) {
-    auto answer =
-        co_await call_store(self->store, self->wire.get(object_kind::order_lease, lease_name, true),
-                            lease_read_timeout);
-    if (answer.fault != store_fault::none) {
+    auto answer = co_await call_store(
+        self->store, self->platform_adapter.get(object_kind::order_lease, lease_name, true),
+        lease_read_timeout);
+    if (answer.fault != store_outcome::none) {
         co_return;
     }
-    const auto object = self->wire.object(answer.body);
+    const auto object = self->platform_adapter.object(answer.body);
     if (object) {
         apply_lease_read(*self, object.value());
     }
@@ -58,8 +58,9 @@
     const auto value = encode_lease(
         {self.settings.host, ++lead.renewals ^ self.random() << 16U, lead.loads_at_once});
     return lead.view.revision == 0
-               ? self.wire.create(object_kind::order_lease, lease_name, value)
-               : self.wire.replace(object_kind::order_lease, lease_name, value, lead.view.revision);
+               ? self.platform_adapter.create(object_kind::order_lease, lease_name, value)
+               : self.platform_adapter.replace(object_kind::order_lease, lease_name, value,
+                                               lead.view.revision);
 }
 
 void apply_lease_write(host& self, std::uint64_t revision, time_point sent) {
@@ -70,11 +71,11 @@
     if (was_holder) {
         return;
     }
-    note(self, order_lease_changed,
-         {{"holder", self.settings.host},
-          {"before", before},
-          {"fence", view.fence},
-          {"orders_in_ms", ms_between(sent, view.orders_allowed_from)}});
+    log_event(self, order_lease_changed,
+              {{"holder", self.settings.host},
+               {"before", before},
+               {"fence", view.fence},
+               {"orders_in_ms", ms_between(sent, view.orders_allowed_from)}});
     self.lead.lease_acquired.open();
 }
 
@@ -82,12 +83,12 @@
     const auto sent = self->clock.boot_now();
     const auto answer = co_await call_store(self->store, lease_write_request(*self),
                                             self->lead.rules.renewal_timeout);
-    const auto object = self->wire.object(answer.body);
-    if (answer.fault == store_fault::conflict && object) {
+    const auto object = self->platform_adapter.object(answer.body);
+    if (answer.fault == store_outcome::conflict && object) {
         apply_lease_read(*self, object.value());
-    } else if (answer.fault == store_fault::not_found) {
+    } else if (answer.fault == store_outcome::not_found) {
         self->lead.view = {};
-    } else if (answer.fault == store_fault::none && object) {
+    } else if (answer.fault == store_outcome::none && object) {
         apply_lease_write(*self, object.value().revision, sent);
     }
 }
@@ -103,7 +104,7 @@
             co_await read_lease(self);
         }
         const auto now = self->clock.boot_now();
-        self->wants_versions = candidate && may_schedule_soon(lead.view, lead.rules, name, now);
+        self->sends_load_orders = candidate && may_schedule_soon(lead.view, lead.rules, name, now);
         const bool action_due =
             next_lease_action(lead.view, lead.rules, name, now) != lease_action::none;
         if (candidate && action_due && has_leader_work(*self) && !self->stopping) {
@@ -133,8 +134,8 @@
     }
 }
 
-void start_leadership(const std::shared_ptr<host>& self) {
-    self->lead.rules.handover_delay = self->settings.order_turn + self->settings.thaw;
+void start_leader_election(const std::shared_ptr<host>& self) {
+    self->lead.rules.handover_delay = self->settings.handover_delay + self->settings.resume_margin;
     loop::asio::co_spawn(self->io, maintain_lease(self), loop::asio::detached);
 }
 
--- a/src/front/leadership.hpp
+++ b/src/front/leadership.hpp
@@ -33,6 +33,6 @@
 loop::task<void> wait_for_lease(std::shared_ptr<host> self);
 
 /// Watches the lease, acquires it when it is free or expired, and renews it, until the loop ends.
-void start_leadership(const std::shared_ptr<host>& self);
+void start_leader_election(const std::shared_ptr<host>& self);
 
 } // namespace cornelloom::front
--- a/src/front/live_batch.cpp
+++ b/src/front/live_batch.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 const route* find_batch_route(const live_batch& batch, std::string_view request_target) {
-    const auto& routes = batch.self->routes;
+    const auto& routes = batch.local_host->routes;
     const auto path = request_target.substr(0, request_target.find('?'));
     return routes ? find_route(*routes, batch.state.header.host, path) : nullptr;
 }
@@ -22,8 +22,8 @@
 
 bool may_send_items(const live_batch& batch) {
     // A batch that is not stored yet can't have been ended.
-    return !batch.stored ||
-           may_send_items(batch.log, batch.self->now(), batch.self->settings.cancel);
+    return !batch.stored || may_send_items(batch.log, batch.local_host->now(),
+                                           batch.local_host->settings.cancel_bound);
 }
 
 time_point deadline_of(const live_batch& batch) {
--- a/src/front/live_batch.hpp
+++ b/src/front/live_batch.hpp
@@ -14,33 +14,33 @@
 
 /// An item that is running at a target.
 struct item_run {
-    std::shared_ptr<loop::exchange> link;
+    std::shared_ptr<loop::exchange> exchange;
     std::string target;
     time_point sent{};
     time_point first_event{}; ///< Zero before the first event.
     time_point last_event{};  ///< Arrival of the latest event; `sent` before the first.
     std::int64_t events = 0;  ///< Received in this run.
-    bool moving = false;      ///< It is being stopped, to continue at another target.
+    bool being_moved = false; ///< It is being stopped, to continue at another target.
 };
 
 /// A batch that is loaded in this process, with its runs and pending calls.
 struct live_batch {
     live_batch(std::shared_ptr<host> this_host, batch loaded)
-        : self(std::move(this_host)), state(std::move(loaded)), changed(self->io) {}
+        : local_host(std::move(this_host)), state(std::move(loaded)), changed(local_host->io) {}
 
-    std::shared_ptr<host> self;
+    std::shared_ptr<host> local_host;
     batch state;
     loop::gate changed;        ///< Opened when results are added, runs end or the owner changes.
     bool owned = false;        ///< This process runs its items.
     bool stored = true;        ///< False after an early start, until the batch is stored.
     bool handing_over = false; ///< The runs are stopped, to continue on another host.
     bool appending = false;    ///< An entry of its log is being written.
-    std::map<std::size_t, item_run> runs{};                          ///< By the item's index.
-    std::map<std::size_t, std::shared_ptr<call_control>> scorings{}; ///< By the item's index.
-    time_point used{};        ///< Last call of a caller on it.
-    log_knowledge log{};      ///< How recent this host's copy of the log is.
-    bool reading_log = false; ///< The task that drives the batch is reading the log.
-    bool held = false;        ///< No item is sent: the log may have entries unknown here.
+    std::map<std::size_t, item_run> runs{};                               ///< By the item's index.
+    std::map<std::size_t, std::shared_ptr<call_control>> scoring_calls{}; ///< By the item's index.
+    time_point last_used{};      ///< Last call of a caller on it.
+    log_knowledge log{};         ///< How recent this host's copy of the log is.
+    bool reading_log = false;    ///< The task that drives the batch is reading the log.
+    bool sending_paused = false; ///< No item is sent: the log may have entries unknown here.
 };
 
 using live_batch_ptr = std::shared_ptr<live_batch>;
--- a/src/front/load_limit.cpp
+++ b/src/front/load_limit.cpp
@@ -32,41 +32,41 @@
 /// its capacity, so that number is `concurrent_loads` divided by their slowdown.
 void lower_limit(load_limit& limit, double concurrent_loads) {
     const double capacity = std::max(concurrent_loads / limit.current_slowdown, min_allowed);
-    limit.allowed = std::min(limit.allowed, std::max(capacity, limit.allowed / 2));
+    limit.max_loads = std::min(limit.max_loads, std::max(capacity, limit.max_loads / 2));
     limit.current_slowdown = 1;
-    ++limit.lowered;
+    ++limit.times_lowered;
 }
 
 void raise_limit(load_limit& limit, double loads) {
-    const double growth = limit.lowered == 0 ? 1 : growth_after_overload / limit.allowed;
-    limit.allowed += growth * loads;
+    const double growth = limit.times_lowered == 0 ? 1 : growth_after_overload / limit.max_loads;
+    limit.max_loads += growth * loads;
 }
 
 } // namespace
 
-std::size_t loads_at_once(const load_limit& limit) {
-    return static_cast<std::size_t>(std::max(limit.allowed, min_allowed));
+std::size_t max_concurrent_loads(const load_limit& limit) {
+    return static_cast<std::size_t>(std::max(limit.max_loads, min_allowed));
 }
 
-milliseconds usual_load(const load_limit& limit) {
-    return milliseconds(static_cast<std::int64_t>(limit.shortest_ms * limit.stretch));
+milliseconds expected_load_duration(const load_limit& limit) {
+    return milliseconds(static_cast<std::int64_t>(limit.shortest_ms * limit.slowdown));
 }
 
-void note_load(load_limit& limit, const observed_load& load) {
+void record_load(load_limit& limit, const observed_load& load) {
     const auto duration_ms = static_cast<double>(load.duration.count());
     const auto concurrent_loads = static_cast<double>(std::max<std::size_t>(load.concurrent, 1));
     update_shortest(limit, duration_ms, concurrent_loads);
     const double stretch = duration_ms / limit.shortest_ms;
-    limit.stretch += (stretch - limit.stretch) * newest_weight;
-    if (load.lowered != limit.lowered) {
+    limit.slowdown += (stretch - limit.slowdown) * newest_weight;
+    if (load.lowered != limit.times_lowered) {
         return;
     }
     // The first overload is the largest, since the limit has doubled until then: react faster.
-    const double weight = limit.lowered == 0 ? 2 * newest_weight : newest_weight;
+    const double weight = limit.times_lowered == 0 ? 2 * newest_weight : newest_weight;
     limit.current_slowdown += (stretch - limit.current_slowdown) * weight;
     // Loads that finish together each ran under the limit before the others raised it, so half of
     // the limit in use counts as used up.
-    const bool limit_in_use = 2 * concurrent_loads > limit.allowed;
+    const bool limit_in_use = 2 * concurrent_loads > limit.max_loads;
     if (limit.current_slowdown > overload_slowdown) {
         lower_limit(limit, concurrent_loads);
     } else if (limit_in_use && stretch < healthy_slowdown) {
--- a/src/front/log_knowledge.hpp
+++ b/src/front/log_knowledge.hpp
@@ -13,9 +13,9 @@
 /// then takes its batch over, and the caller may end the batch at a host that can't reach this one.
 /// Reads that still arrive here do not show that; only the log does.
 struct log_knowledge {
-    time_point confirmed{};   ///< All entries of the log were known at this time; zero: never.
-    bool unavailable = false; ///< The store did not answer the latest read of the log.
-    time_point asked{};       ///< When the unanswered read of the log was sent; zero: none.
+    time_point confirmed{};    ///< All entries of the log were known at this time; zero: never.
+    bool unavailable = false;  ///< The store did not answer the latest read of the log.
+    time_point requested_at{}; ///< When the unanswered read of the log was sent; zero: none.
 };
 
 /// Whether the log should be read again. `cancel`: items of an ended batch must not reach a target
--- a/src/front/order_giver.cpp
+++ b/src/front/order_giver.cpp
@@ -67,7 +67,7 @@
 
 std::vector<model_demand> collect_demands(const host& self, const service& service_config) {
     bool single = false;
-    for (const auto& route : self.routes->source.routes) {
+    for (const auto& route : self.routes->config.routes) {
         const bool serves =
             std::ranges::any_of(route.services, [&service_config](const auto& share) {
                 return share.service == service_config.name;
@@ -76,8 +76,8 @@
     }
     std::vector<model_demand> out;
     for (const auto& model : service_config.models) {
-        const auto named = self.named_versions.find(model);
-        if (named != self.named_versions.end() && named->second > 1) {
+        const auto named = self.published_versions.find(model);
+        if (named != self.published_versions.end() && named->second > 1) {
             out.push_back({model, named->second, single,
                            targets_needed_for(peak_demand(self, model), service_config.slots)});
         }
@@ -89,7 +89,7 @@
 void record_versions(load_scheduler& scheduler) {
     constexpr int samples = 8;
     const auto now = scheduler.self->now();
-    for (const auto& [model, version] : scheduler.self->named_versions) {
+    for (const auto& [model, version] : scheduler.self->published_versions) {
         auto& seen = scheduler.versions[model];
         if (version == seen.version) {
             continue;
@@ -109,9 +109,9 @@
 /// Clears the order state if the target restarted, the list shows the load, or the load timed out.
 void update_order_state(load_scheduler& scheduler, const target_state& target, order_state& order) {
     auto& self = *scheduler.self;
-    if (order.born_ms != target.entry.born_ms) {
+    if (order.born_ms != target.entry.started_unix_ms) {
         order = {};
-        order.born_ms = target.entry.born_ms;
+        order.born_ms = target.entry.started_unix_ms;
         return;
     }
     if (order.model.empty()) {
@@ -172,15 +172,16 @@
 
 loop::task<std::optional<target_report>> read_report(std::shared_ptr<host> self, std::string id,
                                                      transport::endpoint where) {
-    const auto outcome = co_await loop::call(self->connections, where, self->wire.report(id),
-                                             loop::after(order_timeout), connect_timeout);
+    const auto outcome =
+        co_await loop::call(self->connections, where, self->platform_adapter.report(id),
+                            loop::after(order_timeout), connect_timeout);
     if (outcome.fault != loop::exchange_fault::none || outcome.answer.status != 200) {
         co_return std::nullopt;
     }
-    const auto report = self->wire.report_of(outcome.answer.body);
+    const auto report = self->platform_adapter.report_of(outcome.answer.body);
     if (!report) {
-        note(*self, object_unreadable,
-             {{"kind", "report"}, {"id", id}, {"problem", report.error().detail}});
+        log_event(*self, object_unreadable,
+                  {{"kind", "report"}, {"id", id}, {"problem", report.error().detail}});
         co_return std::nullopt;
     }
     co_return report.value();
@@ -207,7 +208,7 @@
                            std::uint64_t stands_for) {
     auto self = scheduler->self;
     const auto sent_at = scheduler->targets[id].sent_at;
-    const auto lowered = scheduler->limit.lowered;
+    const auto lowered = scheduler->limit.times_lowered;
     co_await loop::pause_for(self->io,
                              milliseconds(static_cast<std::int64_t>(scheduler->limit.shortest_ms)));
     for (;;) {
@@ -220,15 +221,15 @@
         if (report && has_loaded(*report, order)) {
             order.busy_until = {};
             const auto duration = std::chrono::duration_cast<milliseconds>(self->now() - sent_at);
-            note_load(scheduler->limit, {duration, concurrent_loads, lowered, stands_for});
-            note(*self, load_ended,
-                 {{"target", id},
-                  {"ms", duration.count()},
-                  {"together", static_cast<std::uint64_t>(concurrent_loads)},
-                  {"shortest_ms", scheduler->limit.shortest_ms},
-                  {"stretch", scheduler->limit.stretch},
-                  {"allowed", scheduler->limit.allowed}});
-            scheduler->timing.load_duration = usual_load(scheduler->limit);
+            record_load(scheduler->limit, {duration, concurrent_loads, lowered, stands_for});
+            log_event(*self, load_ended,
+                      {{"target", id},
+                       {"ms", duration.count()},
+                       {"together", static_cast<std::uint64_t>(concurrent_loads)},
+                       {"shortest_ms", scheduler->limit.shortest_ms},
+                       {"stretch", scheduler->limit.slowdown},
+                       {"allowed", scheduler->limit.max_loads}});
+            scheduler->timing.load_duration = expected_load_duration(scheduler->limit);
             co_return;
         }
         co_await loop::pause_for(self->io, report_poll_interval);
@@ -238,7 +239,7 @@
 /// Polls every load until the concurrency limit has been determined, then a sample of them.
 void maybe_poll_load(const load_scheduler_ptr& scheduler, std::string_view id,
                      const transport::endpoint& where) {
-    const auto loads_per_poll = scheduler->limit.lowered == 0 ? 1 : loads_per_polled_load;
+    const auto loads_per_poll = scheduler->limit.times_lowered == 0 ? 1 : loads_per_polled_load;
     if (scheduler->accepted_loads++ % loads_per_poll == 0) {
         loop::asio::co_spawn(scheduler->self->io,
                              poll_load(scheduler, std::string(id), where, loads_per_poll),
@@ -259,12 +260,12 @@
         target_order.model.clear();
         return;
     }
-    switch (self.wire.order_answer(outcome.answer.status)) {
+    switch (self.platform_adapter.order_answer(outcome.answer.status)) {
     case order_outcome::accepted:
         target_order.accepted_orders = order.expected_orders + 1;
         maybe_poll_load(scheduler, id, where);
         break;
-    case order_outcome::holds_already:
+    case order_outcome::already_loaded:
         target_order.busy_until = {};
         break;
     case order_outcome::busy_or_changed:
@@ -289,7 +290,7 @@
     if (found == self->targets.by_id.end()) {
         co_return;
     }
-    const auto where = found->second.entry.where;
+    const auto where = found->second.entry.address;
     auto& target_order = scheduler->targets[planned.target];
     target_order.model = planned.model;
     target_order.version = planned.version;
@@ -309,20 +310,20 @@
     load_order order{planned.model,         planned.version,
                      planned.order_mode,    self->settings.host,
                      self->lead.view.fence, target_order.accepted_orders.value_or(0)};
-    auto outcome =
-        co_await loop::call(self->connections, where, self->wire.order(order, planned.target),
-                            loop::after(order_timeout), connect_timeout);
+    auto outcome = co_await loop::call(self->connections, where,
+                                       self->platform_adapter.order(order, planned.target),
+                                       loop::after(order_timeout), connect_timeout);
     apply_order_answer(scheduler, planned.target, order, where, outcome);
     self->metrics.count("cornelloom_orders_total");
-    note(*self, order_given,
-         {{"target", planned.target},
-          {"model", planned.model},
-          {"version", planned.version},
-          {"fence", order.fence},
-          {"expected_orders", order.expected_orders},
-          {"lease_age_ms", ms_between(self->lead.view.last_renewal, self->clock.boot_now())},
-          {"fault", to_string(outcome.fault)},
-          {"status", status_of(outcome)}});
+    log_event(*self, order_given,
+              {{"target", planned.target},
+               {"model", planned.model},
+               {"version", planned.version},
+               {"fence", order.fence},
+               {"expected_orders", order.expected_orders},
+               {"lease_age_ms", ms_between(self->lead.view.last_renewal, self->clock.boot_now())},
+               {"fault", to_string(outcome.fault)},
+               {"status", status_of(outcome)}});
 }
 
 void schedule_loads(const load_scheduler_ptr& scheduler) {
@@ -331,7 +332,7 @@
         return;
     }
     record_versions(*scheduler);
-    for (const auto& [name, service] : self.routes->source.services) {
+    for (const auto& [name, service] : self.routes->config.services) {
         const auto demands = collect_demands(self, service);
         if (demands.empty()) {
             continue;
@@ -340,8 +341,8 @@
         const bool in_startup = self.now() - scheduler->first_version_at < startup_period;
         scheduler->timing.models_without_version =
             in_startup ? service.models.size() - demands.size() : 0;
-        for (auto& planned :
-             plan_loads(demands, targets, loads_at_once(scheduler->limit), scheduler->timing)) {
+        for (auto& planned : plan_loads(demands, targets, max_concurrent_loads(scheduler->limit),
+                                        scheduler->timing)) {
             loop::asio::co_spawn(self.io, send_order(scheduler, std::move(planned)),
                                  loop::asio::detached);
         }
@@ -351,7 +352,8 @@
 /// Resets the order state: other holders may have sent orders since this host last held the lease.
 void reset_for_new_lease(load_scheduler& scheduler) {
     scheduler.fence = scheduler.self->lead.view.fence;
-    scheduler.limit.allowed = std::max(scheduler.limit.allowed, scheduler.self->lead.loads_at_once);
+    scheduler.limit.max_loads =
+        std::max(scheduler.limit.max_loads, scheduler.self->lead.loads_at_once);
     // Reset in place: an order in flight may still hold a reference to its entry.
     for (auto& [id, target] : scheduler.targets) {
         target = {};
@@ -367,7 +369,7 @@
         }
         if (is_leader(*self)) {
             schedule_loads(scheduler);
-            self->lead.loads_at_once = scheduler->limit.allowed;
+            self->lead.loads_at_once = scheduler->limit.max_loads;
         }
         co_await loop::pause_for(self->io, plan_interval);
     }
@@ -375,7 +377,7 @@
 
 } // namespace
 
-void start_order_giver(const std::shared_ptr<host>& self) {
+void start_load_scheduler(const std::shared_ptr<host>& self) {
     auto scheduler = std::make_shared<load_scheduler>(self);
     loop::asio::co_spawn(self->io, run(scheduler), loop::asio::detached);
 }
--- a/src/front/order_giver.hpp
+++ b/src/front/order_giver.hpp
@@ -8,6 +8,6 @@
 
 /// Starts the load scheduler. While this host holds the lease, it orders targets to load the
 /// versions that trainers have published.
-void start_order_giver(const std::shared_ptr<host>& self);
+void start_load_scheduler(const std::shared_ptr<host>& self);
 
 } // namespace cornelloom::front
--- a/src/front/placement.cpp
+++ b/src/front/placement.cpp
@@ -44,7 +44,7 @@
 }
 
 double expected_pace(placement_round& round, const target_state& target) {
-    const double measured = likely_pace(target);
+    const double measured = expected_event_interval(target);
     return measured > 0
                ? measured
                : service_median_pace(round, target.entry.service).value_or(default_pace_ms);
@@ -72,12 +72,13 @@
 
 bool has_capacity(const target_state& target) {
     const int slots = std::max(target.entry.slots, 1);
-    return has_free_slot(target) && target.unstarted < std::max(1, slots / slots_per_unstarted);
+    return has_free_slot(target) &&
+           target.awaiting_first_event < std::max(1, slots / slots_per_unstarted);
 }
 
 run_candidate make_candidate(placement_round& round, target_state& target) {
-    const double extra_ms =
-        distance_ms(round.from, target.entry.zone) / 2 + spread(round.from, target.entry.id);
+    const double extra_ms = network_rtt_ms(round.from, target.entry.zone) / 2 +
+                            tie_breaker_ms(round.from, target.entry.id);
     return {&target, expected_pace(round, target), extra_ms};
 }
 
@@ -102,7 +103,7 @@
 
 /// Whether the item may use the target, apart from its capacity.
 bool is_eligible(const target_state& target, const run_requirements& requirements, time_point now) {
-    return target.avoid_until <= now && target.entry.id != requirements.excluded_target;
+    return target.backoff_until <= now && target.entry.id != requirements.excluded_target;
 }
 
 /// Expected time until the item completes on that target.
@@ -135,8 +136,8 @@
 std::optional<double> median_pace(const target_table& table, std::string_view service) {
     std::vector<double> paces;
     for (const auto& [id, target] : table.by_id) {
-        if (target.entry.service == service && target.pace_ms > 0) {
-            paces.push_back(target.pace_ms);
+        if (target.entry.service == service && target.event_interval_ms > 0) {
+            paces.push_back(target.event_interval_ms);
         }
     }
     if (paces.empty()) {
@@ -148,10 +149,10 @@
 }
 
 bool is_slow(const target_state& target, std::optional<double> median) {
-    return median && target.pace_ms > slow_factor * *median;
+    return median && target.event_interval_ms > slow_factor * *median;
 }
 
-placement_round begin_placement(target_table& table, const distance& from, time_point now) {
+placement_round begin_placement(target_table& table, const host_location& from, time_point now) {
     return {&table, from, now};
 }
 
@@ -200,8 +201,9 @@
     other_requirements.excluded_target = current.entry.id;
     const auto alternative = choose_candidate(round, other_requirements);
     if (queued) {
-        return alternative && alternative->target->unstarted == 0 ? run_decision::move_queued
-                                                                  : run_decision::stay;
+        return alternative && alternative->target->awaiting_first_event == 0
+                   ? run_decision::move_queued
+                   : run_decision::stay;
     }
     const bool faster =
         alternative && alternative->pace_ms < faster_pace_ratio * current_candidate.pace_ms;
--- a/src/front/placement.hpp
+++ b/src/front/placement.hpp
@@ -37,14 +37,14 @@
     using requirements_key = std::tuple<std::string_view, std::string_view, int, int>;
 
     target_table* table = nullptr;
-    distance from{};
+    host_location from{};
     time_point now{};
     std::map<std::string_view, std::optional<double>> median_paces{}; ///< By service.
     std::map<requirements_key, std::vector<run_candidate>> candidates{};
 };
 
 /// Starts a round. `table` and the strings that requirements refer to must outlive it.
-[[nodiscard]] placement_round begin_placement(target_table& table, const distance& from,
+[[nodiscard]] placement_round begin_placement(target_table& table, const host_location& from,
                                               time_point now);
 
 /// The target that is expected to complete the item first, or null if none has capacity.
--- a/src/front/plain_call.cpp
+++ b/src/front/plain_call.cpp
@@ -62,7 +62,7 @@
 
 attempt_result classify_answer(const call_state& state, transport::http_response answer) {
     attempt_result result;
-    result.facts = state.self->wire.answer(answer.headers);
+    result.facts = state.self->platform_adapter.answer(answer.headers);
     result.answer = std::move(answer);
     const int status = result.answer.status;
     // A late answer to an earlier request on this connection says nothing about this one.
@@ -103,7 +103,7 @@
     }
     const auto time_left =
         std::chrono::duration_cast<milliseconds>(state->call.deadline - self.now());
-    const auto message = state->call.make({plan.target_id, time_left, 0, {}});
+    const auto message = state->call.build_request({plan.target_id, time_left, 0, {}});
     fault = co_await exchange->send(message, deadline);
     state->arrivals.emplace(plan.number, self.now() + plan.one_way_latency);
     if (fault == loop::exchange_fault::none) {
@@ -133,23 +133,23 @@
         target.running = std::max(0, target.running - 1);
         switch (result.end) {
         case attempt_end::answered:
-            note_answer(target, duration_ms);
+            record_answer(target, duration_ms);
             break;
         case attempt_end::not_run:
-            note_full(target, self.now());
+            record_rejection(target, self.now());
             break;
         default:
             if (!state.decided) {
-                note_fault(target, self.now());
+                record_request_failure(target, self.now());
             }
         }
     }
     if (result.end != attempt_end::answered && !state.decided) {
-        note(self, attempt_failed,
-             {{"id", state.call.id},
-              {"target", target_id},
-              {"why", result.reason},
-              {"ms", duration_ms}});
+        log_event(self, attempt_failed,
+                  {{"id", state.call.id},
+                   {"target", target_id},
+                   {"why", result.reason},
+                   {"ms", duration_ms}});
         const kernel::label reason{"reason", result.end == attempt_end::not_run ? "not_run"
                                              : result.end == attempt_end::target_error
                                                  ? "target_failed"
@@ -171,9 +171,9 @@
     case attempt_end::target_error:
         outcome.failures += result.answer.status == 500 ? 1 : 0;
         // The target's error is the answer unless another attempt succeeds.
-        outcome.what = plain_outcome::state::answered;
+        outcome.result = plain_outcome::state::answered;
         outcome.answer = std::move(result.answer);
-        outcome.facts = std::move(result.facts);
+        outcome.answer_info = std::move(result.facts);
         state.decided = result.end == attempt_end::answered;
         break;
     case attempt_end::not_run:
@@ -182,8 +182,8 @@
         ++state.refusals;
         break;
     case attempt_end::no_valid_answer:
-        if (outcome.what == plain_outcome::state::not_run) {
-            outcome.what = plain_outcome::state::unknown;
+        if (outcome.result == plain_outcome::state::not_run) {
+            outcome.result = plain_outcome::state::unknown;
         }
         break;
     }
@@ -210,17 +210,17 @@
 
 bool start_attempt(const call_state_ptr& state) {
     auto& self = *state->self;
-    auto* target = choose_plain(self.targets, state->call.service, self.here(),
-                                state->tried_targets, self.now());
+    auto* target = choose_target(self.targets, state->call.service, self.here(),
+                                 state->tried_targets, self.now());
     if (target == nullptr) {
         return false;
     }
     planned_attempt plan;
     plan.number = state->outcome.sends;
     plan.target_id = target->entry.id;
-    plan.address = target->entry.where;
-    plan.one_way_latency =
-        milliseconds(static_cast<std::int64_t>(distance_ms(self.here(), target->entry.zone) / 2));
+    plan.address = target->entry.address;
+    plan.one_way_latency = milliseconds(
+        static_cast<std::int64_t>(network_rtt_ms(self.here(), target->entry.zone) / 2));
     plan.new_connection = state->outcome.sends > 0;
     state->tried_targets.insert(target->entry.id);
     ++target->running;
@@ -234,7 +234,7 @@
 /// Whether the limits of the call allow another attempt.
 bool may_start_attempt(const call_state& state) {
     if (state.decided || state.refusals >= max_refusals ||
-        state.may_have_run >= state.call.runs_most) {
+        state.may_have_run >= state.call.max_runs) {
         return false;
     }
     return state.call.idempotent || state.may_have_run == 0;
@@ -272,8 +272,8 @@
         std::clamp(delay_ms, objective_ms * min_hedge_share, objective_ms * max_hedge_share)));
 }
 
-loop::task<plain_outcome> run_plain(std::shared_ptr<host> self, plain_call call,
-                                    std::shared_ptr<call_control> control) {
+loop::task<plain_outcome> run_plain_call(std::shared_ptr<host> self, plain_call call,
+                                         std::shared_ptr<call_control> control) {
     auto state = std::make_shared<call_state>(self, std::move(call));
     control->cancel = [state] {
         abort_attempts(*state);
@@ -302,8 +302,8 @@
     if (!state->arrivals.empty()) {
         outcome.started_at = std::ranges::min(state->arrivals | std::views::values);
     }
-    if (expired && outcome.what == plain_outcome::state::not_run) {
-        outcome.what = plain_outcome::state::unknown;
+    if (expired && outcome.result == plain_outcome::state::not_run) {
+        outcome.result = plain_outcome::state::unknown;
         outcome.reason = "deadline passed";
     }
     abort_attempts(*state);
--- a/src/front/plain_call.hpp
+++ b/src/front/plain_call.hpp
@@ -18,22 +18,22 @@
 inline constexpr int max_refusals = 5;
 
 /// Default hedging delay as a multiple of the typical latency; one request in fifty takes longer.
-inline constexpr double usual_hedge_factor = 3;
+inline constexpr double default_hedge_factor = 3;
 /// Shorter hedging delay for requests that other work waits for; one request in four takes longer.
-inline constexpr double early_hedge_factor = 1.25;
+inline constexpr double short_hedge_factor = 1.25;
 
 /// A request for a target of a service whose response is not streamed.
 struct plain_call {
     std::string id;
     std::string service;
     bool idempotent = false;
-    int runs_most = 1;         ///< Maximum number of targets that may run it.
+    int max_runs = 1;          ///< Maximum number of targets that may run it.
     milliseconds objective{0}; ///< Latency objective of its route; 0: none.
     time_point deadline{};
     /// Hedging delay as a multiple of the typical latency of the service.
-    double hedge_factor = usual_hedge_factor;
+    double hedge_factor = default_hedge_factor;
     /// Builds the request for one target, with the remaining time.
-    std::function<transport::http_request(const forward_terms&)> make;
+    std::function<transport::http_request(const forward_options&)> build_request;
 };
 
 struct plain_outcome {
@@ -42,9 +42,9 @@
         not_run,  ///< No target has run it or will run it.
         unknown,  ///< It may have run, but no answer was received.
     };
-    state what = state::not_run;
+    state result = state::not_run;
     transport::http_response answer{};
-    target_answer facts{};
+    target_answer answer_info{};
     std::string reason{}; ///< Why the last attempt failed.
     int sends = 0;
     int failures = 0; ///< Attempts that were answered with status 500.
@@ -63,8 +63,8 @@
 /// which some are slow, full or failing. An idempotent request is hedged: a second target is tried
 /// when the first has taken `hedge_factor` times the typical latency, by default three times. A
 /// target that reports that it did not run the request costs only a round trip.
-loop::task<plain_outcome> run_plain(std::shared_ptr<host> self, plain_call call,
-                                    std::shared_ptr<call_control> control);
+loop::task<plain_outcome> run_plain_call(std::shared_ptr<host> self, plain_call call,
+                                         std::shared_ptr<call_control> control);
 
 /// Time from the start of an attempt to the start of a hedged one.
 [[nodiscard]] milliseconds hedge_delay(milliseconds objective, double typical_ms, double factor);
--- a/src/front/process.cpp
+++ b/src/front/process.cpp
@@ -53,17 +53,17 @@
         std::vector<transport::endpoint> endpoints;
         endpoints.reserve(owner->peers.size() + owner->settings.seeds.size());
         for (const auto& [name, peer] : owner->peers) {
-            endpoints.push_back(peer.where);
+            endpoints.push_back(peer.address);
         }
         for (const auto& seed : owner->settings.seeds) {
-            if (seed != owner->settings.peers) {
+            if (seed != owner->settings.peer_endpoint) {
                 endpoints.push_back(seed);
             }
         }
         std::ranges::shuffle(endpoints, owner->random);
         return endpoints;
     };
-    self->store.count = [owner](const store_request& call, std::string_view outcome) {
+    self->store.count_call = [owner](const store_request& call, std::string_view outcome) {
         const std::array labels{kernel::label{"kind", to_string(call.kind)},
                                 kernel::label{"call", to_string(call.verb)},
                                 kernel::label{"outcome", outcome}};
@@ -71,14 +71,14 @@
     };
 }
 
-loop::task<void> serve_counted(std::shared_ptr<batch_desk> registry,
+loop::task<void> serve_counted(std::shared_ptr<batch_registry> registry,
                                loop::served_request& request) {
     ++registry->self->in_flight;
     co_await serve_caller(registry, request);
     --registry->self->in_flight;
 }
 
-void listen_for_callers(const std::shared_ptr<batch_desk>& registry) {
+void listen_for_callers(const std::shared_ptr<batch_registry>& registry) {
     auto self = registry->self;
     auto server = std::make_shared<loop::listener>();
     server->io = &self->io;
@@ -86,12 +86,12 @@
         return serve_counted(registry, request);
     };
     server->limits = [self] {
-        return self->routes ? self->routes->source.bounds : loop::caller_limits{};
+        return self->routes ? self->routes->config.bounds : loop::caller_limits{};
     };
     server->closing = [self] { return self->stopping; };
     server->open_connections_most = static_cast<std::size_t>(
         std::max(self->settings.file_descriptors - reserved_descriptors, 100));
-    loop::start_listening(server, self->settings.callers);
+    loop::start_listening(server, self->settings.caller_endpoint);
 }
 
 /// Reports whether callers can be served and the process is not stopping. A host whose
@@ -105,7 +105,7 @@
 
 loop::task<void> answer_metrics(std::shared_ptr<host> self, loop::served_request& request) {
     self->metrics.set("cornelloom_log_lines_lost", static_cast<double>(kernel::lost_lines()));
-    if (self->configuration_as_of != time_point{}) {
+    if (self->configuration_confirmed_at != time_point{}) {
         self->metrics.set("cornelloom_configuration_age_seconds",
                           static_cast<double>(configuration_age(*self).count()) / 1000);
     }
@@ -133,40 +133,40 @@
 void record_loop_delay(host& self, double delay_ms) {
     self.metrics.record("cornelloom_loop_delay_seconds", delay_ms / 1000);
     if (delay_ms >= min_logged_delay_ms) {
-        note(self, loop_delayed, {{"ms", delay_ms}});
+        log_event(self, loop_delayed, {{"ms", delay_ms}});
     }
 }
 
-loop::task<void> run_housekeeping(std::shared_ptr<batch_desk> registry) {
+loop::task<void> run_housekeeping(std::shared_ptr<batch_registry> registry) {
     auto self = registry->self;
     for (;;) {
         const auto due = self->now() + housekeeping_interval;
         co_await loop::pause_for(self->io, housekeeping_interval);
         record_loop_delay(*self, ms_between(due, self->now()));
         loop::close_stale(self->connections);
-        expire_vanished(self->targets, self->now());
-        forget_unused(*registry);
-        forget_old_counts(*self);
-        note_demand(*self, items_in_work(*registry));
+        remove_expired_targets(self->targets, self->now());
+        evict_unused(*registry);
+        drop_old_counts(*self);
+        record_demand(*self, count_unfinished_items(*registry));
     }
 }
 
-loop::task<void> shut_down(std::shared_ptr<batch_desk> registry) {
+loop::task<void> shut_down(std::shared_ptr<batch_registry> registry) {
     auto self = registry->self;
     self->stopping = true;
-    note(*self, front_stopping, {{"host", self->settings.host}});
-    hand_over_all(registry);
+    log_event(*self, front_stopping, {{"host", self->settings.host}});
+    hand_over_all_batches(registry);
     const auto shutdown_started = self->now();
     const auto grace_share = [self](double share) {
-        return std::chrono::duration_cast<loop::milliseconds>(self->settings.grace * share);
+        return std::chrono::duration_cast<loop::milliseconds>(self->settings.grace_period * share);
     };
     co_await loop::pause_for(self->io, grace_share(serving_share));
     self->refusing_requests = true;
     while (self->in_flight > 0 && self->now() < shutdown_started + grace_share(draining_share)) {
         co_await loop::pause_for(self->io, drain_poll_interval);
     }
-    co_await hand_counts_over(self);
-    note(*self, front_stopped, {{"host", self->settings.host}});
+    co_await send_all_counts(self);
+    log_event(*self, front_stopped, {{"host", self->settings.host}});
     self->io.stop();
 }
 
@@ -178,26 +178,26 @@
         if (ec) {
             return;
         }
-        const auto settings = self->wire.settings(read_file(file));
-        note(*self, settings_reloaded,
-             {{"sound", settings.has_value()},
-              {"problem", settings ? std::string() : settings.error().detail}});
+        const auto settings = self->platform_adapter.settings(read_file(file));
+        log_event(*self, settings_reloaded,
+                  {{"sound", settings.has_value()},
+                   {"problem", settings ? std::string() : settings.error().detail}});
         handle_reloads(self, signals, file);
     });
 }
 
-void start_serving(const std::shared_ptr<batch_desk>& registry) {
+void start_serving(const std::shared_ptr<batch_registry>& registry) {
     auto self = registry->self;
     listen_for_callers(registry);
-    start_internal_listener(self, self->settings.readiness, [self](loop::served_request& request) {
-        return answer_readiness(self, request);
-    });
-    start_internal_listener(self, self->settings.peers, [registry](loop::served_request& request) {
-        return serve_peer(registry, request);
-    });
-    follow_platform(self);
-    start_leadership(self);
-    start_order_giver(self);
+    start_internal_listener(
+        self, self->settings.readiness_endpoint,
+        [self](loop::served_request& request) { return answer_readiness(self, request); });
+    start_internal_listener(
+        self, self->settings.peer_endpoint,
+        [registry](loop::served_request& request) { return serve_peer(registry, request); });
+    start_platform_watches(self);
+    start_leader_election(self);
+    start_load_scheduler(self);
     start_gathering(self);
     start_usage_reports(self);
     start_target_supply(self);
@@ -212,7 +212,7 @@
     boost::asio::signal_set stop_signals(io, SIGTERM, SIGINT);
     boost::asio::signal_set reload_signals(io, SIGHUP);
     std::signal(SIGPIPE, SIG_IGN);
-    const auto& wire = the_adapter();
+    const auto& wire = linked_adapter();
     auto settings = wire.settings(read_file(options.settings_file));
     if (!settings) {
         std::cerr << options.settings_file << ": " << settings.error().detail << '\n';
@@ -222,7 +222,7 @@
                           kernel::log_sink::standard_output_async);
     auto self = std::make_shared<host>(io, wire, std::move(settings.value()));
     configure_store_client(self);
-    auto registry = std::make_shared<batch_desk>(self);
+    auto registry = std::make_shared<batch_registry>(self);
     try {
         if (self->settings.serves_callers) {
             start_serving(registry);
@@ -245,14 +245,14 @@
         if (self->settings.serves_callers) {
             loop::asio::co_spawn(io, shut_down(registry), loop::asio::detached);
         } else {
-            note(*self, front_stopped, {{"host", self->settings.host}});
+            log_event(*self, front_stopped, {{"host", self->settings.host}});
             io.stop();
         }
     });
-    note(*self, front_started,
-         {{"host", self->settings.host},
-          {"zone", self->settings.zone},
-          {"serves_callers", self->settings.serves_callers}});
+    log_event(*self, front_started,
+              {{"host", self->settings.host},
+               {"zone", self->settings.zone},
+               {"serves_callers", self->settings.serves_callers}});
     io.run();
     // Coroutines still wait on the loop and never finish, so the process exits without unwinding.
     kernel::close_log();
--- a/src/front/records.cpp
+++ b/src/front/records.cpp
@@ -129,7 +129,7 @@
 
 std::string encode_host(const host_entry& host) {
     return dump(
-        {{"zone", host.zone}, {"at", to_string(host.where)}, {"processor", host.processor}});
+        {{"zone", host.zone}, {"at", to_string(host.address)}, {"processor", host.cpu_share}});
 }
 
 kernel::result<host_entry> decode_host(std::string_view name, const json& value) {
@@ -137,8 +137,8 @@
         host_entry out;
         out.name = name;
         out.zone = value.at("zone").get<std::string>();
-        out.where = decode_endpoint(value, "at");
-        out.processor = value.at("processor").get<double>();
+        out.address = decode_endpoint(value, "at");
+        out.cpu_share = value.at("processor").get<double>();
         return out;
     });
 }
--- a/src/front/retirement.cpp
+++ b/src/front/retirement.cpp
@@ -9,13 +9,14 @@
 loop::task<void> answer_retirement(std::shared_ptr<host> self, std::string name) {
     for (;;) {
         const auto answer = co_await call_store(
-            self->store, self->wire.replace_status(object_kind::retirements, name,
-                                                   self->wire.retirement_done()));
-        note(*self, retirement_answered, {{"host", name}, {"fault", to_string(answer.fault)}});
-        if (answer.fault != store_fault::refused && answer.fault != store_fault::unknown) {
+            self->store,
+            self->platform_adapter.replace_status(object_kind::retirements, name,
+                                                  self->platform_adapter.retirement_done()));
+        log_event(*self, retirement_answered, {{"host", name}, {"fault", to_string(answer.fault)}});
+        if (answer.fault != store_outcome::refused && answer.fault != store_outcome::unknown) {
             co_return;
         }
-        co_await loop::pause_for(self->io, store_pause(*self, store_pause_most));
+        co_await loop::pause_for(self->io, store_retry_delay(*self, max_store_delay));
     }
 }
 
@@ -27,21 +28,21 @@
 
 } // namespace
 
-followed follow_retirements(const std::shared_ptr<host>& self) {
-    followed watch{object_kind::retirements, no_pause,
-                   [self](std::span<const stored_object> all) {
-                       for (const auto& object : all) {
-                           answer_if_pending(self, object);
-                       }
-                   },
-                   [self](std::span<const object_change> changes) {
-                       for (const auto& change : changes) {
-                           if (!change.deleted) {
-                               answer_if_pending(self, change.object);
+watched_kind watch_retirements(const std::shared_ptr<host>& self) {
+    watched_kind watch{object_kind::retirements, no_delay,
+                       [self](std::span<const stored_object> all) {
+                           for (const auto& object : all) {
+                               answer_if_pending(self, object);
                            }
-                       }
-                   }};
-    watch.wanted = [self] { return watches_store(*self); };
+                       },
+                       [self](std::span<const object_change> changes) {
+                           for (const auto& change : changes) {
+                               if (!change.deleted) {
+                                   answer_if_pending(self, change.object);
+                               }
+                           }
+                       }};
+    watch.is_needed = [self] { return watches_store(*self); };
     return watch;
 }
 
