--- a/src/front/routing.cpp
+++ b/src/front/routing.cpp
@@ -8,13 +8,13 @@
 
 std::shared_ptr<const route_index> index_routes(configuration config) {
     auto index = std::make_shared<route_index>();
-    index->source = std::move(config);
-    const auto& routes = index->source.routes;
+    index->config = std::move(config);
+    const auto& routes = index->config.routes;
     for (std::size_t position = 0; position < routes.size(); ++position) {
         index->by_host[routes[position].host].try_emplace(routes[position].path_prefix, position);
     }
-    if (index->source.accounts) {
-        for (const auto& account : *index->source.accounts) {
+    if (index->config.accounts) {
+        for (const auto& account : *index->config.accounts) {
             for (const auto& hash : account.key_hashes) {
                 index->account_by_key.try_emplace(hash, account.name);
             }
@@ -32,7 +32,7 @@
          slash = slash == 0 ? std::string_view::npos : path.rfind('/', slash - 1)) {
         const auto found = host_routes->second.find(std::string(path.substr(0, slash + 1)));
         if (found != host_routes->second.end()) {
-            return &index.source.routes[found->second];
+            return &index.config.routes[found->second];
         }
     }
     return nullptr;
--- a/src/front/routing.hpp
+++ b/src/front/routing.hpp
@@ -12,7 +12,7 @@
 /// A configuration with an index over its routes. A lookup takes one hash lookup per slash in the
 /// path, independent of the number of routes.
 struct route_index {
-    configuration source;
+    configuration config;
     /// Positions in the configuration's routes, by host name and path prefix.
     std::unordered_map<std::string, std::unordered_map<std::string, std::size_t>> by_host;
     std::unordered_map<std::string, std::string> account_by_key; ///< By key hash.
--- a/src/front/store_client.cpp
+++ b/src/front/store_client.cpp
@@ -14,24 +14,24 @@
 constexpr int status_not_executed = 503;
 constexpr int status_outcome_unknown = 504;
 
-store_fault fault_of_status(int status) {
+store_outcome fault_of_status(int status) {
     switch (status) {
     case 200:
     case 201:
     case 202:
     case 204:
-        return store_fault::none;
+        return store_outcome::none;
     case 404:
-        return store_fault::not_found;
+        return store_outcome::not_found;
     case 409:
-        return store_fault::conflict;
+        return store_outcome::conflict;
     case 410:
-        return store_fault::history_gone;
+        return store_outcome::history_gone;
     case 429:
     case status_not_executed:
-        return store_fault::refused;
+        return store_outcome::refused;
     default:
-        return status >= 500 ? store_fault::unknown : store_fault::invalid;
+        return status >= 500 ? store_outcome::unknown : store_outcome::invalid;
     }
 }
 
@@ -39,12 +39,12 @@
     if (outcome.fault == loop::exchange_fault::none) {
         return {fault_of_status(outcome.answer.status), std::move(outcome.answer.body)};
     }
-    return {outcome.sent ? store_fault::unknown : store_fault::refused};
+    return {outcome.sent ? store_outcome::unknown : store_outcome::refused};
 }
 
 /// Whether the store itself has responded; other outcomes are failures of the path to it.
-bool store_responded(store_fault fault) {
-    return fault != store_fault::refused && fault != store_fault::unknown;
+bool store_responded(store_outcome fault) {
+    return fault != store_outcome::refused && fault != store_outcome::unknown;
 }
 
 loop::task<store_response> call_directly(store_client& client, store_request request,
@@ -55,11 +55,11 @@
     auto outcome = co_await loop::call(*client.connections, client.address, request.message,
                                        loop::after(timeout), connect_timeout, use);
     auto response = to_store_response(std::move(outcome));
-    client.count(request, to_string(response.fault));
+    client.count_call(request, to_string(response.fault));
     if (store_responded(response.fault)) {
-        record_response(client.ways, false, loop::steady_clock::now());
+        record_response(client.paths, false, loop::steady_clock::now());
     } else {
-        record_failure(client.ways, false, loop::steady_clock::now());
+        record_failure(client.paths, false, loop::steady_clock::now());
     }
     co_return response;
 }
@@ -68,22 +68,22 @@
                                               loop::milliseconds timeout) {
     auto& message = request.message;
     message.path.insert(0, relay_path);
-    message.headers.push_back({std::string(patience_header), std::to_string(timeout.count())});
+    message.headers.push_back({std::string(timeout_header), std::to_string(timeout.count())});
     auto peers = client.peers();
     if (client.last_working_peer) {
         peers.insert(peers.begin(), *client.last_working_peer);
     }
     peers.resize(std::min(peers.size(), max_peers_tried));
-    store_response peer_response{store_fault::refused, {}, true};
+    store_response peer_response{store_outcome::refused, {}, true};
     for (const auto& peer : peers) {
         auto outcome =
             co_await loop::call(*client.connections, peer, message,
                                 loop::after(timeout + relay_timeout_margin), connect_timeout);
         peer_response = to_store_response(std::move(outcome));
-        peer_response.by_peer = true;
-        client.count(request, "by_peer");
+        peer_response.relayed = true;
+        client.count_call(request, "by_peer");
         const bool repeatable =
-            message.method == "GET" || peer_response.fault == store_fault::refused;
+            message.method == "GET" || peer_response.fault == store_outcome::refused;
         client.last_working_peer =
             store_responded(peer_response.fault) ? std::optional(peer) : std::nullopt;
         if (store_responded(peer_response.fault) || !repeatable) {
@@ -91,30 +91,30 @@
         }
     }
     if (store_responded(peer_response.fault)) {
-        record_response(client.ways, true, loop::steady_clock::now());
+        record_response(client.paths, true, loop::steady_clock::now());
     } else {
-        record_failure(client.ways, true, loop::steady_clock::now());
+        record_failure(client.paths, true, loop::steady_clock::now());
     }
     co_return peer_response;
 }
 
 } // namespace
 
-std::string_view to_string(store_fault fault) {
+std::string_view to_string(store_outcome fault) {
     switch (fault) {
-    case store_fault::none:
+    case store_outcome::none:
         return "done";
-    case store_fault::not_found:
+    case store_outcome::not_found:
         return "not_found";
-    case store_fault::conflict:
+    case store_outcome::conflict:
         return "conflict";
-    case store_fault::history_gone:
+    case store_outcome::history_gone:
         return "history_gone";
-    case store_fault::refused:
+    case store_outcome::refused:
         return "refused";
-    case store_fault::unknown:
+    case store_outcome::unknown:
         return "unknown";
-    case store_fault::invalid:
+    case store_outcome::invalid:
         return "invalid";
     }
     return "invalid";
@@ -123,17 +123,17 @@
 loop::task<store_response> call_store(store_client& client, store_request request,
                                       loop::milliseconds timeout, path_choice choice) {
     const auto plan =
-        plan_paths(client.ways, choice == path_choice::single, loop::steady_clock::now());
+        plan_paths(client.paths, choice == path_choice::single, loop::steady_clock::now());
     if (plan.direct_first) {
         auto response = co_await call_directly(client, request, timeout, choice);
         const bool repeatable =
-            request.message.method == "GET" || response.fault == store_fault::refused;
+            request.message.method == "GET" || response.fault == store_outcome::refused;
         if (store_responded(response.fault) || !repeatable || !plan.peers) {
             co_return response;
         }
     }
     auto response = co_await call_through_peers(client, request, timeout);
-    if (plan.direct_last && response.fault == store_fault::refused) {
+    if (plan.direct_last && response.fault == store_outcome::refused) {
         response = co_await call_directly(client, std::move(request), timeout, choice);
     }
     co_return response;
@@ -141,7 +141,7 @@
 
 loop::task<transport::http_response>
 relay_call(store_client& client, transport::http_request request, loop::milliseconds timeout) {
-    const bool direct_path_open = client.ways.direct_retry_at <= loop::steady_clock::now();
+    const bool direct_path_open = client.paths.direct_retry_at <= loop::steady_clock::now();
     if (!direct_path_open) {
         co_return transport::http_response{status_not_executed, {}, {}};
     }
--- a/src/front/store_client.hpp
+++ b/src/front/store_client.hpp
@@ -13,7 +13,7 @@
 namespace cornelloom::front {
 
 /// Outcome of a call to the platform's store.
-enum class store_fault {
+enum class store_outcome {
     none,
     not_found,
     conflict,     ///< The object exists or has another revision; the response contains it.
@@ -23,12 +23,12 @@
     invalid,      ///< The store rejected the call as malformed.
 };
 
-[[nodiscard]] std::string_view to_string(store_fault fault);
+[[nodiscard]] std::string_view to_string(store_outcome fault);
 
 struct store_response {
-    store_fault fault = store_fault::none;
+    store_outcome fault = store_outcome::none;
     std::string body{};
-    bool by_peer = false; ///< A peer relayed the call.
+    bool relayed = false; ///< A peer relayed the call.
 };
 
 /// Client of the platform's store; all calls to the store go through it.
@@ -46,14 +46,14 @@
     }; ///< Returns the peers that may relay a call, in order of preference.
     /// The peer that last relayed a response of the store; tried first.
     std::optional<transport::endpoint> last_working_peer{};
-    std::function<void(const store_request& call, std::string_view outcome)> count =
+    std::function<void(const store_request& call, std::string_view outcome)> count_call =
         [](const store_request&, std::string_view) {};
-    store_paths ways{};
+    store_paths paths{};
 };
 
 /// Default timeout. The store responds in milliseconds, or in a quarter of a second when it is
 /// slow.
-inline constexpr loop::milliseconds store_call_limit{1500};
+inline constexpr loop::milliseconds store_call_timeout{1500};
 
 /// Which paths a call may use.
 enum class path_choice {
@@ -66,13 +66,13 @@
 /// Calls the store, directly or through a peer. `timeout` is the time that the store may take on
 /// each attempt.
 loop::task<store_response> call_store(store_client& client, store_request request,
-                                      loop::milliseconds timeout = store_call_limit,
+                                      loop::milliseconds timeout = store_call_timeout,
                                       path_choice choice = path_choice::any);
 
 /// URL path prefix of calls that a host relays to the store for its peers.
 inline constexpr std::string_view relay_path = "/relay";
 /// Request header with the time that the store may take for a relayed call, in milliseconds.
-inline constexpr std::string_view patience_header = "Cornelloom-Patience-Ms";
+inline constexpr std::string_view timeout_header = "Cornelloom-Patience-Ms";
 
 /// Relays a peer's call to the store. Status 503: the call was not executed, for example because
 /// this host's own direct path is closed; 504: it may have been executed.
--- a/src/front/store_ways.cpp
+++ b/src/front/store_ways.cpp
@@ -51,7 +51,7 @@
     }
 }
 
-loop::milliseconds pause_after(const store_paths& paths, loop::milliseconds max_delay,
+loop::milliseconds retry_delay(const store_paths& paths, loop::milliseconds max_delay,
                                double random_unit) {
     const int doublings = std::clamp(paths.consecutive_failures - 1, 0, max_doublings);
     const double unbounded =
--- a/src/front/store_ways.hpp
+++ b/src/front/store_ways.hpp
@@ -13,7 +13,7 @@
     loop::deadline
         last_direct_failure{};       ///< When a direct call last got no response from the store.
     loop::deadline last_increment{}; ///< When `failures` was last incremented.
-    int consecutive_failures = 0;    ///< Consecutive direct failures; see `pause_after`.
+    int consecutive_failures = 0;    ///< Consecutive direct failures; see `retry_delay`.
 };
 
 /// The paths that a call tries, in this order: direct, peers, direct after the peers.
@@ -43,11 +43,11 @@
 /// The backoff delay before a failed call is repeated. It doubles with each consecutive failure, up
 /// to `max_delay`. `random_unit`, from 0 to 1, adds jitter, since all hosts fail at the same
 /// time.
-[[nodiscard]] loop::milliseconds pause_after(const store_paths& paths, loop::milliseconds max_delay,
+[[nodiscard]] loop::milliseconds retry_delay(const store_paths& paths, loop::milliseconds max_delay,
                                              double random_unit);
 
 /// Upper bounds of the backoff delay: while a caller waits for the call, and otherwise.
-inline constexpr loop::milliseconds store_pause_awaited{300};
-inline constexpr loop::milliseconds store_pause_most{1200};
+inline constexpr loop::milliseconds max_awaited_store_delay{300};
+inline constexpr loop::milliseconds max_store_delay{1200};
 
 } // namespace cornelloom::front
--- a/src/front/stream_call.cpp
+++ b/src/front/stream_call.cpp
@@ -19,7 +19,7 @@
     loop::served_request* request;
     route request_route;
     caller_request request_info;
-    std::optional<std::string> account; ///< See `forward_terms`.
+    std::optional<std::string> account; ///< See `forward_options`.
     time_point deadline{};
     std::shared_ptr<loop::exchange> exchange{};
     std::set<std::string, std::less<>> tried_targets{};
@@ -55,7 +55,7 @@
         pending += chunk;
         auto complete_events = take_complete_events(pending);
         co_await stream.request->piece(complete_events);
-        for (const auto& event : stream.self->wire.events(complete_events)) {
+        for (const auto& event : stream.self->platform_adapter.events(complete_events)) {
             stream.last_event = std::max(stream.last_event, event.id);
         }
     }
@@ -74,7 +74,7 @@
         stream.reason = "status " + std::to_string(status);
         co_return stream_end::broken_off;
     }
-    answer.headers = stream.self->wire.answer_headers(stream.exchange->headers());
+    answer.headers = stream.self->platform_adapter.answer_headers(stream.exchange->headers());
     stream.exchange->finish();
     co_await stream.request->answer(std::move(answer));
     co_return stream_end::error_forwarded;
@@ -91,9 +91,9 @@
     }
     const auto time_left =
         std::chrono::duration_cast<milliseconds>(stream.deadline - stream.self->now());
-    const auto message =
-        stream.self->wire.forward(stream.request->message, {std::move(target_id), time_left,
-                                                            stream.last_event, stream.account});
+    const auto message = stream.self->platform_adapter.forward(
+        stream.request->message,
+        {std::move(target_id), time_left, stream.last_event, stream.account});
     fault = co_await stream.exchange->send(message, deadline);
     if (fault == loop::exchange_fault::none) {
         fault = co_await stream.exchange->read_head(deadline);
@@ -102,7 +102,7 @@
         stream.reason = to_string(fault);
         co_return stream.request->gone() ? stream_end::caller_gone : stream_end::broken_off;
     }
-    const auto answer = stream.self->wire.answer(stream.exchange->headers());
+    const auto answer = stream.self->platform_adapter.answer(stream.exchange->headers());
     const int status = stream.exchange->status();
     if (answer.not_run || status == 421) {
         stream.reason = "not run, status " + std::to_string(status);
@@ -124,7 +124,7 @@
         stream.head_sent = true;
         count_usage(*stream.self, stream.account, stream.self->now());
         co_await stream.request->begin(
-            status, stream.self->wire.answer_headers(stream.exchange->headers()));
+            status, stream.self->platform_adapter.answer_headers(stream.exchange->headers()));
     }
     const auto end = co_await forward_body(stream);
     co_return end;
@@ -140,7 +140,7 @@
 loop::task<stream_end> run_next_attempt(stream_state& stream, std::string_view service) {
     auto& self = *stream.self;
     auto* target =
-        choose_plain(self.targets, service, self.here(), stream.tried_targets, self.now());
+        choose_target(self.targets, service, self.here(), stream.tried_targets, self.now());
     if (target == nullptr) {
         stream.refusals = max_refusals;
         stream.reason = stream.reason.empty() ? "no target" : stream.reason;
@@ -150,14 +150,14 @@
     stream.tried_targets.insert(id);
     ++target->running;
     ++stream.may_have_run;
-    stream.exchange = std::make_shared<loop::exchange>(self.connections, target->entry.where);
+    stream.exchange = std::make_shared<loop::exchange>(self.connections, target->entry.address);
     stream.request->on_gone([link = stream.exchange] { link->abort(); });
     const auto end = co_await run_attempt(stream, id);
     const auto found = self.targets.by_id.find(id);
     if (found != self.targets.by_id.end()) {
         --found->second.running;
         if (end == stream_end::broken_off) {
-            note_fault(found->second, self.now());
+            record_request_failure(found->second, self.now());
         }
     }
     if (end == stream_end::not_run) {
@@ -165,11 +165,11 @@
         ++stream.refusals;
     }
     if (end == stream_end::not_run || end == stream_end::broken_off) {
-        note(self, attempt_failed,
-             {{"id", stream.request_info.id},
-              {"target", id},
-              {"why", stream.reason},
-              {"after_event", stream.last_event}});
+        log_event(self, attempt_failed,
+                  {{"id", stream.request_info.id},
+                   {"target", id},
+                   {"why", stream.reason},
+                   {"after_event", stream.last_event}});
     }
     co_return end;
 }
@@ -214,19 +214,20 @@
     if (end == stream_end::complete) {
         co_await request.end();
         stream.exchange->finish();
-        note(*self, request_answered, {{"id", request_info.id}, {"events", stream.last_event}});
+        log_event(*self, request_answered,
+                  {{"id", request_info.id}, {"events", stream.last_event}});
     } else if (end == stream_end::error_forwarded) {
-        note(*self, request_answered, {{"id", request_info.id}, {"why", stream.reason}});
+        log_event(*self, request_answered, {{"id", request_info.id}, {"why", stream.reason}});
     } else if (end == stream_end::caller_gone) {
         stream.exchange->abort();
-        note(*self, caller_left, {{"id", request_info.id}});
+        log_event(*self, caller_left, {{"id", request_info.id}});
         request.abandon();
     } else if (stream.head_sent) {
-        note(*self, request_failed,
-             {{"id", request_info.id}, {"why", stream.reason}, {"broken_off", true}});
+        log_event(*self, request_failed,
+                  {{"id", request_info.id}, {"why", stream.reason}, {"broken_off", true}});
         request.abandon();
     } else if (stream.may_have_run == 0) {
-        co_await refuse(*self, request, request_info.id, stream.reason, come_back_soon);
+        co_await refuse(*self, request, request_info.id, stream.reason, no_target_retry_delay);
     } else {
         co_await fail(*self, request, request_info.id, stream.reason,
                       self->now() >= stream.deadline);
--- a/src/front/target_supplier.cpp
+++ b/src/front/target_supplier.cpp
@@ -39,17 +39,17 @@
     auto self = state.self;
     const duty_sender sender{self->settings.host, self->lead.view.fence};
     const supply_order order{service_config.name, zone, count};
-    const auto outcome = co_await loop::call(self->connections, self->settings.duties->where,
-                                             self->wire.supply(order, sender),
+    const auto outcome = co_await loop::call(self->connections, self->settings.duties->address,
+                                             self->platform_adapter.supply(order, sender),
                                              loop::after(order_timeout), connect_timeout);
     const int status = status_of(outcome);
-    note(*self, targets_ordered,
-         {{"service", service_config.name},
-          {"zone", zone},
-          {"count", count},
-          {"fence", sender.fence},
-          {"status", status},
-          {"fault", to_string(outcome.fault)}});
+    log_event(*self, targets_ordered,
+              {{"service", service_config.name},
+               {"zone", zone},
+               {"count", count},
+               {"fence", sender.fence},
+               {"status", status},
+               {"fault", to_string(outcome.fault)}});
     self->metrics.count("cornelloom_supply_orders_total",
                         std::array{kernel::label{"outcome", status == 200 ? "accepted" : "again"}});
     auto& last_order = state.orders[service_config.name][zone];
@@ -98,7 +98,7 @@
         co_return;
     }
     const auto routes = self->routes;
-    for (const auto& [name, service_config] : routes->source.services) {
+    for (const auto& [name, service_config] : routes->config.services) {
         if (!service_config.scaling) {
             continue;
         }
--- a/src/front/target_supply.cpp
+++ b/src/front/target_supply.cpp
@@ -25,7 +25,8 @@
     std::vector<int> out;
     for (const auto& zone : zones) {
         const int current = std::max(zone.serving, zone.ordered);
-        out.push_back(std::clamp(current, std::min(bounds.least, bounds.most), bounds.most));
+        out.push_back(std::clamp(current, std::min(bounds.min_targets, bounds.max_targets),
+                                 bounds.max_targets));
     }
     int missing = static_cast<int>(targets_needed_for(demand.peak_items, demand.slots)) -
                   std::accumulate(out.begin(), out.end(), 0);
@@ -34,7 +35,7 @@
         // share; among equals the cheapest.
         std::size_t best = zones.size();
         for (std::size_t index = 0; index < zones.size(); ++index) {
-            if (out[index] >= bounds.most) {
+            if (out[index] >= bounds.max_targets) {
                 continue;
             }
             const auto rank = [&](std::size_t candidate) {
--- a/src/front/targets.cpp
+++ b/src/front/targets.cpp
@@ -29,8 +29,8 @@
 constexpr double max_relative_deviation = 0.4;
 
 bool deviates_from_long_term(const target_state& target) {
-    return std::abs(target.pace_ms - target.steady_pace_ms) >
-           max_relative_deviation * target.steady_pace_ms;
+    return std::abs(target.event_interval_ms - target.long_term_event_interval_ms) >
+           max_relative_deviation * target.long_term_event_interval_ms;
 }
 
 void update_average(double& mean, double sample) {
@@ -41,35 +41,35 @@
     return !target.entry.draining;
 }
 
-double expected_response_ms(const target_state& target, const distance& from) {
+double expected_response_ms(const target_state& target, const host_location& from) {
     const double average = target.latency_ms > 0 ? target.latency_ms : default_latency_ms;
     const double slots = std::max(target.entry.slots, 1);
     return average * (1 + target.running / slots) + target.failure_rate * failure_cost_ms +
-           distance_ms(from, target.entry.zone) + spread(from, target.entry.id);
+           network_rtt_ms(from, target.entry.zone) + tie_breaker_ms(from, target.entry.id);
 }
 
 } // namespace
 
-void put_target(target_table& table, target_entry entry, time_point now) {
+void upsert_target(target_table& table, target_entry entry, time_point now) {
     table.deferred_removals.erase(entry.id);
     auto& target = table.by_id[entry.id];
-    const bool restarted =
-        target.entry.born_ms != entry.born_ms || target.entry.where != entry.where;
+    const bool restarted = target.entry.started_unix_ms != entry.started_unix_ms ||
+                           target.entry.address != entry.address;
     if (restarted) {
         const int running = target.running;
-        const int unstarted = target.unstarted;
+        const int unstarted = target.awaiting_first_event;
         target = {};
         target.running = running;
-        target.unstarted = unstarted;
+        target.awaiting_first_event = unstarted;
     }
     if (!restarted && entry.revision < target.entry.revision) {
         return;
     }
-    if (entry.draining && target.leaving_since == time_point{}) {
-        target.leaving_since = now;
+    if (entry.draining && target.draining_since == time_point{}) {
+        target.draining_since = now;
     }
     if (!entry.draining) {
-        target.leaving_since = {};
+        target.draining_since = {};
     }
     for (const auto& [model, version] : entry.versions) {
         const auto known = target.entry.versions.find(model);
@@ -95,7 +95,7 @@
     std::set<std::string, std::less<>> listed;
     for (auto& entry : all) {
         listed.insert(entry.id);
-        put_target(table, std::move(entry), now);
+        upsert_target(table, std::move(entry), now);
     }
     std::vector<std::string> missing;
     for (const auto& [id, target] : table.by_id) {
@@ -106,15 +106,17 @@
     std::ranges::for_each(missing, [&](const std::string& id) { remove_target(table, id, now); });
 }
 
-void note_return(target_table& table, time_point now) {
+void record_platform_return(target_table& table, time_point now) {
     table.defer_removals_until = now + removal_grace_period;
 }
 
-bool have_lapsed(std::size_t vanished, milliseconds since_trouble, milliseconds calm) {
-    return vanished >= min_simultaneous_expiries && since_trouble < calm - max_update_delay;
+bool are_expired_entries(std::size_t vanished, milliseconds since_trouble,
+                         milliseconds stable_window) {
+    return vanished >= min_simultaneous_expiries &&
+           since_trouble < stable_window - max_update_delay;
 }
 
-void expire_vanished(target_table& table, time_point now) {
+void remove_expired_targets(target_table& table, time_point now) {
     std::erase_if(table.deferred_removals, [&](const auto& entry) {
         if (entry.second > now) {
             return false;
@@ -124,49 +126,51 @@
     });
 }
 
-void note_answer(target_state& target, double latency_ms) {
+void record_answer(target_state& target, double latency_ms) {
     update_average(target.latency_ms, latency_ms);
     target.failure_rate *= 1 - smoothing_factor;
     target.consecutive_failures = 0;
-    target.avoid_until = {};
+    target.backoff_until = {};
 }
 
-void note_fault(target_state& target, time_point now) {
+void record_request_failure(target_state& target, time_point now) {
     target.failure_rate += smoothing_factor * (1 - target.failure_rate);
     const int doublings = std::min(target.consecutive_failures, 4);
     ++target.consecutive_failures;
-    target.avoid_until =
+    target.backoff_until =
         now + std::min(min_failure_backoff * (1 << doublings), max_failure_backoff);
 }
 
-void note_full(target_state& target, time_point now) {
-    target.avoid_until = std::max(target.avoid_until, now + full_target_backoff);
+void record_rejection(target_state& target, time_point now) {
+    target.backoff_until = std::max(target.backoff_until, now + full_target_backoff);
 }
 
-void note_event_gap(target_state& target, double gap_ms) {
-    update_average(target.pace_ms, gap_ms);
+void record_event_interval(target_state& target, double gap_ms) {
+    update_average(target.event_interval_ms, gap_ms);
     target.consecutive_failures = 0;
     const bool has_enough_samples = target.interval_samples >= min_interval_samples;
     if (has_enough_samples && deviates_from_long_term(target)) {
         return;
     }
     target.interval_samples = std::min(target.interval_samples + 1, max_interval_samples);
-    target.steady_pace_ms += (gap_ms - target.steady_pace_ms) / target.interval_samples;
+    target.long_term_event_interval_ms +=
+        (gap_ms - target.long_term_event_interval_ms) / target.interval_samples;
 }
 
-double likely_pace(const target_state& target) {
+double expected_event_interval(const target_state& target) {
     const bool has_enough_samples = target.interval_samples >= min_interval_samples;
-    return has_enough_samples && !deviates_from_long_term(target) ? target.steady_pace_ms
-                                                                  : target.pace_ms;
+    return has_enough_samples && !deviates_from_long_term(target)
+               ? target.long_term_event_interval_ms
+               : target.event_interval_ms;
 }
 
-double spread(const distance& from, std::string_view target_id) {
+double tie_breaker_ms(const host_location& from, std::string_view target_id) {
     constexpr std::uint64_t steps = 1024;
     const auto step = kernel::hash64(target_id, from.salt) % steps;
     return max_tie_breaker_ms * static_cast<double>(step) / static_cast<double>(steps);
 }
 
-double distance_ms(const distance& from, std::string_view zone) {
+double network_rtt_ms(const host_location& from, std::string_view zone) {
     if (from.zone == zone) {
         return 0;
     }
@@ -180,15 +184,16 @@
     return same_region ? inter_zone_rtt_ms : inter_region_rtt_ms;
 }
 
-target_state* choose_plain(target_table& table, std::string_view service, const distance& from,
-                           const std::set<std::string, std::less<>>& excluded, time_point now) {
+target_state* choose_target(target_table& table, std::string_view service,
+                            const host_location& from,
+                            const std::set<std::string, std::less<>>& excluded, time_point now) {
     target_state* best = nullptr;
     std::pair<bool, double> best_rank{};
     for (auto& [id, target] : table.by_id) {
         if (target.entry.service != service || !accepts_requests(target) || excluded.contains(id)) {
             continue;
         }
-        const std::pair rank(target.avoid_until > now, expected_response_ms(target, from));
+        const std::pair rank(target.backoff_until > now, expected_response_ms(target, from));
         if (best == nullptr || rank < best_rank) {
             best = &target;
             best_rank = rank;
--- a/src/front/targets.hpp
+++ b/src/front/targets.hpp
@@ -18,16 +18,17 @@
 /// the requests that this host has sent to it.
 struct target_state {
     target_entry entry;
-    int running = 0;           ///< Requests of this host in flight at the target.
-    int unstarted = 0;         ///< Items of this host in flight without an event yet.
-    double latency_ms = 0;     ///< Moving average over non-streaming requests; 0: no sample.
-    double pace_ms = 0;        ///< Moving average between stream events; 0: no sample.
-    double steady_pace_ms = 0; ///< Long-term average; excludes samples during a slowdown.
-    int interval_samples = 0;  ///< Number of samples in `steady_pace_ms`, capped.
-    double failure_rate = 0;   ///< Moving average of requests that failed without a response.
+    int running = 0;              ///< Requests of this host in flight at the target.
+    int awaiting_first_event = 0; ///< Items of this host in flight without an event yet.
+    double latency_ms = 0;        ///< Moving average over non-streaming requests; 0: no sample.
+    double event_interval_ms = 0; ///< Moving average between stream events; 0: no sample.
+    double long_term_event_interval_ms =
+        0;                    ///< Long-term average; excludes samples during a slowdown.
+    int interval_samples = 0; ///< Number of samples in `long_term_event_interval_ms`, capped.
+    double failure_rate = 0;  ///< Moving average of requests that failed without a response.
     int consecutive_failures = 0;
-    time_point avoid_until{};   ///< Until then selected only if no other target is available.
-    time_point leaving_since{}; ///< When it was first seen draining; zero: not draining.
+    time_point backoff_until{};  ///< Until then selected only if no other target is available.
+    time_point draining_since{}; ///< When it was first seen draining; zero: not draining.
     /// Models that the target is loading, and until when it is assumed to reject their requests.
     std::map<std::string, time_point, std::less<>> loading_until;
 };
@@ -54,42 +55,43 @@
 
 /// Adds the entry or updates it, unless a newer revision is known. A restarted target starts with
 /// new statistics.
-void put_target(target_table& table, target_entry entry, time_point now);
+void upsert_target(target_table& table, target_entry entry, time_point now);
 /// Removes the target, or defers the removal after an outage.
 void remove_target(target_table& table, std::string_view id, time_point now);
 /// Replaces the content of the table by a complete list.
 void replace_targets(target_table& table, std::vector<target_entry> all, time_point now);
 /// Records that the platform is reachable again after an outage.
-void note_return(target_table& table, time_point now);
+void record_platform_return(target_table& table, time_point now);
 /// Whether entries that were removed together expired because heartbeats could not be stored,
 /// rather than being removed by their targets. `since_trouble`: time since a call to the store last
-/// failed; `calm`: after this time without failures, removals take effect at once.
+/// failed; `stable_window`: after this time without failures, removals take effect at once.
 ///
 /// Scaling a service down and a store outage both remove several targets at once. Keeping targets
 /// that were scaled down sends requests to stopped processes; dropping targets after an outage
 /// rejects all requests for seconds.
-[[nodiscard]] bool have_lapsed(std::size_t vanished, milliseconds since_trouble, milliseconds calm);
+[[nodiscard]] bool are_expired_entries(std::size_t vanished, milliseconds since_trouble,
+                                       milliseconds stable_window);
 /// Removes the targets whose deferred removal is due.
-void expire_vanished(target_table& table, time_point now);
+void remove_expired_targets(target_table& table, time_point now);
 
 /// Records an answered non-streaming request.
-void note_answer(target_state& target, double latency_ms);
+void record_answer(target_state& target, double latency_ms);
 /// Records a request that failed or stalled, and starts the backoff.
-void note_fault(target_state& target, time_point now);
+void record_request_failure(target_state& target, time_point now);
 /// Records that the target rejected a request without running it.
-void note_full(target_state& target, time_point now);
+void record_rejection(target_state& target, time_point now);
 /// Records the time between two events of a stream.
-void note_event_gap(target_state& target, double gap_ms);
+void record_event_interval(target_state& target, double gap_ms);
 
 /// Expected time between two stream events of the target, in milliseconds; 0: unknown.
 ///
 /// Targets differ permanently by up to a third, which an average over ten events can't distinguish
 /// from noise, so streams would be moved back and forth. Targets also become several times slower
 /// within moments. The long-term average is therefore used unless recent events deviate strongly.
-[[nodiscard]] double likely_pace(const target_state& target);
+[[nodiscard]] double expected_event_interval(const target_state& target);
 
 /// The location of this host, from which the network latency to a target is estimated.
-struct distance {
+struct host_location {
     std::uint64_t salt = 0; ///< Differs by host, to vary the choice of targets.
     std::string_view zone;
     const std::map<std::string, std::string, std::less<>>* region_of_zone = nullptr;
@@ -104,10 +106,10 @@
 inline constexpr double max_tie_breaker_ms = 2;
 /// A pseudorandom latency offset for each pair of host and target, to spread load over equal
 /// targets.
-[[nodiscard]] double spread(const distance& from, std::string_view target_id);
+[[nodiscard]] double tie_breaker_ms(const host_location& from, std::string_view target_id);
 
 /// Estimated round trip time to a zone.
-[[nodiscard]] double distance_ms(const distance& from, std::string_view zone);
+[[nodiscard]] double network_rtt_ms(const host_location& from, std::string_view zone);
 
 /// The target with the lowest expected response time for a non-streaming request, or null.
 ///
@@ -115,9 +117,9 @@
 /// the average latency, scaled by this host's requests in flight, plus the network latency and a
 /// penalty for recent failures. This avoids queues at one target while others are idle, and ranks
 /// targets that pass health checks but fail some of their requests last.
-[[nodiscard]] target_state* choose_plain(target_table& table, std::string_view service,
-                                         const distance& from,
-                                         const std::set<std::string, std::less<>>& excluded,
-                                         time_point now);
+[[nodiscard]] target_state* choose_target(target_table& table, std::string_view service,
+                                          const host_location& from,
+                                          const std::set<std::string, std::less<>>& excluded,
+                                          time_point now);
 
 } // namespace cornelloom::front
--- a/src/front/types.hpp
+++ b/src/front/types.hpp
@@ -40,7 +40,7 @@
     std::vector<traffic_share> services;
     int attempts = 1; ///< Maximum number of targets that may run one attempt of a caller.
     bool resumable = false;
-    bool open_to_all = false;     ///< Requests need no key even if accounts are configured.
+    bool allow_anonymous = false; ///< Requests need no key even if accounts are configured.
     bool single_version = false;  ///< A sample must not mix versions of the weights.
     milliseconds run_deadline{0}; ///< Results of a batch are due this long after its submission.
     milliseconds retention{0};    ///< An item may be given up this long after its submission.
@@ -48,16 +48,16 @@
 
 /// Limits for the number of targets of a service that are requested from the platform.
 struct scaling_bounds {
-    int least = 0;         ///< Minimum per zone.
-    int most = 0;          ///< Maximum per zone.
-    milliseconds start{0}; ///< Time until a new target serves.
+    int min_targets = 0;          ///< Minimum per zone.
+    int max_targets = 0;          ///< Maximum per zone.
+    milliseconds startup_time{0}; ///< Time until a new target serves.
     std::map<std::string, double, std::less<>>
         zone_prices; ///< Price of a target per second, by zone.
 };
 
 struct service {
     std::string name;
-    int connections_most = 0;                ///< Connections that a target accepts in total.
+    int max_connections = 0;                 ///< Connections that a target accepts in total.
     int slots = 0;                           ///< Concurrent requests of a target; 0: unknown.
     std::vector<std::string> models;         ///< Empty for a service without models.
     std::optional<scaling_bounds> scaling{}; ///< Unset: the number of its targets is fixed.
@@ -83,17 +83,18 @@
 struct target_entry {
     std::string id;
     std::string service;
-    transport::endpoint where;
+    transport::endpoint address;
     std::string zone;
     bool draining = false;
     int slots = 1;
     std::map<std::string, int, std::less<>> versions; ///< Loaded version by model.
-    std::int64_t born_ms = 0; ///< Start, Unix time; a later one: it restarted without its state.
+    std::int64_t started_unix_ms =
+        0; ///< Start, Unix time; a later one: it restarted without its state.
     std::uint64_t revision = 0;
 };
 
 /// The newest version that a trainer has named for its model.
-struct named_version {
+struct published_version {
     std::string model;
     int version = 0;
 };
@@ -102,17 +103,18 @@
 struct host_entry {
     std::string name;
     std::string zone;
-    transport::endpoint where;
-    double processor = 0; ///< CPU share, in cores.
+    transport::endpoint address;
+    double cpu_share = 0; ///< CPU share, in cores.
 };
 
 /// Settings of the calls to the platform that one host makes on behalf of all.
 struct duty_settings {
-    transport::endpoint where;
+    transport::endpoint address;
     bool reports_usage = false;
     bool orders_targets = false;
     milliseconds usage_window{5000}; ///< Length of the windows in which requests are counted.
-    milliseconds usage_due{10000};   ///< Time limit for reporting a window, counted from its end.
+    milliseconds usage_report_timeout{
+        10000}; ///< Time limit for reporting a window, counted from its end.
 };
 
 /// The contents of the settings file.
@@ -122,25 +124,25 @@
     std::string zone;
     std::string region;
     std::map<std::string, std::string, std::less<>> region_of_zone;
-    transport::endpoint callers;   ///< Listens for callers.
-    transport::endpoint readiness; ///< Listens for readiness checks of the platform.
-    transport::endpoint peers;     ///< Listens for other hosts of the system.
+    transport::endpoint caller_endpoint;    ///< Listens for callers.
+    transport::endpoint readiness_endpoint; ///< Listens for readiness checks of the platform.
+    transport::endpoint peer_endpoint;      ///< Listens for other hosts of the system.
     std::vector<transport::endpoint> seeds;
     transport::endpoint platform;
-    std::size_t value_bytes = 1048576; ///< Largest object that the platform accepts.
-    milliseconds heartbeat{1200};      ///< Interval between heartbeats of a target.
-    milliseconds grace{8000};          ///< Time from SIGTERM to SIGKILL.
-    milliseconds cancel{3000};         ///< Time until an ended batch sends no more items.
-    milliseconds drain{2500};          ///< Time until a draining target gets no more work.
-    milliseconds order_turn{3000};     ///< Minimum time between two holders' orders to one target.
-    milliseconds thaw{300};            ///< Added to that pause for a holder that was suspended.
-    milliseconds calm{4000};           ///< Fault-free time until the time bounds hold again.
-    milliseconds in_force{2500};       ///< Time until a configuration is in force on all hosts.
+    std::size_t max_value_bytes = 1048576; ///< Largest object that the platform accepts.
+    milliseconds heartbeat_interval{1200}; ///< Interval between heartbeats of a target.
+    milliseconds grace_period{8000};       ///< Time from SIGTERM to SIGKILL.
+    milliseconds cancel_bound{3000};       ///< Time until an ended batch sends no more items.
+    milliseconds drain_bound{2500};        ///< Time until a draining target gets no more work.
+    milliseconds handover_delay{3000}; ///< Minimum time between two holders' orders to one target.
+    milliseconds resume_margin{300};   ///< Added to that pause for a holder that was suspended.
+    milliseconds stable_window{4000};  ///< Fault-free time until the time bounds hold again.
+    milliseconds config_apply_bound{2500}; ///< Time until a configuration is in force on all hosts.
     /// Time until no host accepts a revoked key; unset: unbounded.
-    std::optional<milliseconds> revocation;
+    std::optional<milliseconds> revocation_bound;
     std::optional<duty_settings> duties;
     int file_descriptors = 1024;
-    double processor = 1; ///< CPU share, in cores.
+    double cpu_share = 1; ///< CPU share, in cores.
 };
 
 /// The request that computes the score of a sample.
@@ -158,16 +160,17 @@
     std::string body;
     std::string group;
     std::string model;
-    int tokens_out_most = 0; ///< Limit on generated tokens, set by the caller.
-    int tokens_out_hint = 0; ///< The caller's estimate, accurate only at the median; 0: none.
+    int max_output_tokens = 0; ///< Limit on generated tokens, set by the caller.
+    int expected_output_tokens =
+        0; ///< The caller's estimate, accurate only at the median; 0: none.
     std::optional<scoring_call> scoring;
 };
 
 /// A batch as submitted by its caller.
 struct batch_spec {
     std::vector<batch_item> items;
-    int oldest_version = 0; ///< Oldest version of the weights that may generate its tokens.
-    int groups_wanted = 0;  ///< Number of complete groups after which the step ends.
+    int oldest_version = 0;  ///< Oldest version of the weights that may generate its tokens.
+    int required_groups = 0; ///< Number of complete groups after which the step ends.
 };
 
 /// A finished item.
--- a/src/front/usage_report.cpp
+++ b/src/front/usage_report.cpp
@@ -6,7 +6,7 @@
 
 using json = nlohmann::json;
 
-report_rules rules_for(milliseconds due) {
+report_rules report_rules_for(milliseconds due) {
     report_rules out;
     out.settle_delay = due * 3 / 10;
     out.cutoff = due * 7 / 10;
@@ -17,15 +17,15 @@
                                                    std::optional<window_number> last,
                                                    window_number first, std::int64_t now_ms,
                                                    const report_rules& rules) {
-    const auto oldest = window_at(windows, now_ms - rules.kept.count());
+    const auto oldest = window_of(windows, now_ms - rules.retention.count());
     const auto next = std::max(last ? *last + 1 : first, oldest);
-    const auto end_ms = begin_of(windows, next + 1);
+    const auto end_ms = window_start(windows, next + 1);
     return now_ms >= end_ms + rules.settle_delay.count() ? std::optional(next) : std::nullopt;
 }
 
 bool past_cutoff(const window_counts& windows, window_number window, std::int64_t now_ms,
                  const report_rules& rules) {
-    return now_ms >= begin_of(windows, window + 1) + rules.cutoff.count();
+    return now_ms >= window_start(windows, window + 1) + rules.cutoff.count();
 }
 
 std::string encode_report(const usage_report& report) {
--- a/src/front/usage_report.hpp
+++ b/src/front/usage_report.hpp
@@ -21,11 +21,11 @@
     /// Hosts that have not sent their counts by then are left out.
     milliseconds cutoff{7000};
     /// Older windows are not reported, because their counts are no longer kept.
-    milliseconds kept{60000};
+    milliseconds retention{60000};
 };
 
 /// The rules for reports that are due this long after the end of their window.
-[[nodiscard]] report_rules rules_for(milliseconds due);
+[[nodiscard]] report_rules report_rules_for(milliseconds due);
 
 /// The next window to report, or nothing if none ended long enough ago. `last`: the last reported
 /// window; `first`: the first window to report if there is none.
--- a/src/front/usage_reporter.cpp
+++ b/src/front/usage_reporter.cpp
@@ -38,21 +38,22 @@
 /// Reads the report that the previous leader stored; false if the read failed.
 loop::task<bool> read_last_stored(reporter_state& state) {
     auto self = state.self;
-    const auto answer = co_await call_store(
-        self->store, self->wire.get(object_kind::usage_reports, report_object_name, false));
-    if (answer.fault == store_fault::not_found) {
+    const auto answer =
+        co_await call_store(self->store, self->platform_adapter.get(object_kind::usage_reports,
+                                                                    report_object_name, false));
+    if (answer.fault == store_outcome::not_found) {
         state.last_stored = stored_report{};
         co_return true;
     }
-    if (answer.fault != store_fault::none) {
+    if (answer.fault != store_outcome::none) {
         co_return false;
     }
-    const auto object = self->wire.object(answer.body);
+    const auto object = self->platform_adapter.object(answer.body);
     const auto report = object ? decode_report(object.value().specification)
                                : kernel::result<usage_report>(object.error());
     if (!report) {
-        note(*self, object_unreadable,
-             {{"kind", "usage_reports"}, {"problem", report.error().detail}});
+        log_event(*self, object_unreadable,
+                  {{"kind", "usage_reports"}, {"problem", report.error().detail}});
         co_return false;
     }
     state.last_stored = stored_report{report.value(), object.value().revision, false};
@@ -62,8 +63,8 @@
 store_request report_write_request(const host& self, std::string_view text,
                                    std::uint64_t revision) {
     const auto kind = object_kind::usage_reports;
-    return revision == 0 ? self.wire.create(kind, report_object_name, text)
-                         : self.wire.replace(kind, report_object_name, text, revision);
+    return revision == 0 ? self.platform_adapter.create(kind, report_object_name, text)
+                         : self.platform_adapter.replace(kind, report_object_name, text, revision);
 }
 
 /// Stores the report of the window; false if the write is not known to have succeeded.
@@ -73,8 +74,8 @@
     const auto text = encode_report(report);
     const auto write = report_write_request(*self, text, state.last_stored->revision);
     const auto answer = co_await call_store(self->store, write);
-    const auto object = self->wire.object(answer.body);
-    if (answer.fault != store_fault::none || !object) {
+    const auto object = self->platform_adapter.object(answer.body);
+    if (answer.fault != store_outcome::none || !object) {
         // The write may have succeeded anyway, or another leader may have stored a report: read
         // again.
         state.last_stored.reset();
@@ -89,18 +90,18 @@
     auto self = state.self;
     const auto report = state.last_stored->report;
     const duty_sender sender{self->settings.host, self->lead.view.fence};
-    const auto outcome = co_await loop::call(self->connections, self->settings.duties->where,
-                                             self->wire.usage(report, sender),
+    const auto outcome = co_await loop::call(self->connections, self->settings.duties->address,
+                                             self->platform_adapter.usage(report, sender),
                                              loop::after(report_timeout), connect_timeout);
     const int status = status_of(outcome);
-    const auto window_end_ms = begin_of(self->usage, report.window + 1);
-    note(*self, usage_reported,
-         {{"window", report.window},
-          {"accounts", static_cast<std::uint64_t>(report.counts.size())},
-          {"fence", sender.fence},
-          {"status", status},
-          {"fault", to_string(outcome.fault)},
-          {"since_end_ms", self->clock.wall_now().unix_ms - window_end_ms}});
+    const auto window_end_ms = window_start(self->usage, report.window + 1);
+    log_event(*self, usage_reported,
+              {{"window", report.window},
+               {"accounts", static_cast<std::uint64_t>(report.counts.size())},
+               {"fence", sender.fence},
+               {"status", status},
+               {"fault", to_string(outcome.fault)},
+               {"since_end_ms", self->clock.wall_now().unix_ms - window_end_ms}});
     const bool retry = status == 0 || status == status_too_many_requests || status >= 500;
     self->metrics.count("cornelloom_usage_reports_total",
                         std::array{kernel::label{"outcome", retry           ? "again"
@@ -114,7 +115,7 @@
 /// Collects, stores and sends the counts of the next window that is due.
 loop::task<void> report_next(reporter_state& state) {
     auto self = state.self;
-    const auto rules = rules_for(self->settings.duties->usage_due);
+    const auto rules = report_rules_for(self->settings.duties->usage_report_timeout);
     const auto last = state.last_stored->revision == 0
                           ? std::nullopt
                           : std::optional(state.last_stored->report.window);
@@ -155,7 +156,7 @@
 
 loop::task<void> run(std::shared_ptr<reporter_state> state) {
     auto self = state->self;
-    state->first_window = window_at(self->usage, self->clock.wall_now().unix_ms);
+    state->first_window = window_of(self->usage, self->clock.wall_now().unix_ms);
     for (;;) {
         co_await wait_for_lease(self);
         if (is_leader(*self)) {
--- a/src/front/watch.cpp
+++ b/src/front/watch.cpp
@@ -27,22 +27,23 @@
 /// Interval of the check whether this host needs a kind that only some hosts need.
 constexpr loop::milliseconds need_check_interval{300};
 
-using watched_kind_ptr = std::shared_ptr<followed>;
+using watched_kind_ptr = std::shared_ptr<watched_kind>;
 
-void record_store_contact(host& self, followed& watched, store_fault fault) {
-    const bool lost = fault == store_fault::refused || fault == store_fault::unknown;
+void record_store_contact(host& self, watched_kind& watched, store_outcome fault) {
+    const bool lost = fault == store_outcome::refused || fault == store_outcome::unknown;
     if (lost == watched.store_lost) {
         return;
     }
     watched.store_lost = lost;
     if (lost) {
         self.store_failed = true;
-        self.learned.open();
+        self.startup_changed.open();
     }
-    note(self, lost ? platform_lost : platform_back,
-         {{"watch", to_string(watched.kind)}, {"at", watched.at}, {"fault", to_string(fault)}});
+    log_event(
+        self, lost ? platform_lost : platform_back,
+        {{"watch", to_string(watched.kind)}, {"at", watched.at}, {"fault", to_string(fault)}});
     if (!lost && watched.kind == object_kind::targets) {
-        note_return(self.targets, self.now());
+        record_platform_return(self.targets, self.now());
     }
 }
 
@@ -52,27 +53,27 @@
                                 bool may_be_stale, object_page& out) {
     std::string after;
     for (bool more = true; more;) {
-        auto response =
-            co_await call_store(self->store, self->wire.list(watched->kind, after, may_be_stale));
+        auto response = co_await call_store(
+            self->store, self->platform_adapter.list(watched->kind, after, may_be_stale));
         record_store_contact(*self, *watched, response.fault);
-        if (response.fault != store_fault::none) {
+        if (response.fault != store_outcome::none) {
             co_return false;
         }
-        auto page = self->wire.page(response.body);
+        auto page = self->platform_adapter.page(response.body);
         if (!page) {
-            note(*self, object_unreadable,
-                 {{"kind", to_string(watched->kind)}, {"problem", page.error().detail}});
+            log_event(*self, object_unreadable,
+                      {{"kind", to_string(watched->kind)}, {"problem", page.error().detail}});
             co_return false;
         }
         out.at = out.at == 0 ? page.value().at : out.at;
         std::ranges::move(page.value().items, std::back_inserter(out.items));
-        more = page.value().more && !out.items.empty();
+        more = page.value().has_more && !out.items.empty();
         after = out.items.empty() ? std::string() : out.items.back().name;
     }
     co_return true;
 }
 
-void update_known_names(followed& watched, std::span<const object_change> changes) {
+void update_known_names(watched_kind& watched, std::span<const object_change> changes) {
     for (const auto& change : changes) {
         if (change.deleted) {
             watched.known_names.erase(change.object.name);
@@ -96,44 +97,44 @@
     }
     watched->on_list(all.items);
     watched->at = all.at;
-    note_confirmed(*self, watched->kind, requested_at);
+    record_confirmed(*self, watched->kind, requested_at);
     co_return true;
 }
 
 loop::task<bool> poll_store(std::shared_ptr<host> self, watched_kind_ptr watched) {
-    const auto plan = plan_paths(self->store.ways, true, loop::steady_clock::now());
+    const auto plan = plan_paths(self->store.paths, true, loop::steady_clock::now());
     const auto wait =
         plan.direct_first ? watch_wait(watched->kind, self->settings) : relayed_watch_wait;
     const auto poll_started = loop::steady_clock::now();
     const auto current_as_of = self->clock.boot_now();
-    auto response =
-        co_await call_store(self->store, self->wire.watch(watched->kind, watched->at, wait),
-                            wait + watch_timeout_margin, path_choice::single);
+    auto response = co_await call_store(
+        self->store, self->platform_adapter.watch(watched->kind, watched->at, wait),
+        wait + watch_timeout_margin, path_choice::single);
     record_store_contact(*self, *watched, response.fault);
-    if (response.fault == store_fault::history_gone || response.fault == store_fault::invalid ||
-        response.fault == store_fault::not_found) {
+    if (response.fault == store_outcome::history_gone || response.fault == store_outcome::invalid ||
+        response.fault == store_outcome::not_found) {
         watched->at = 0;
         co_return true;
     }
-    if (response.fault != store_fault::none) {
+    if (response.fault != store_outcome::none) {
         // An interrupted watch may have missed changes that are no longer in the store's history,
         // and a watch from a revision before those may report nothing. So the kind is listed again.
         watched->at = 0;
         co_return false;
     }
-    auto changes = self->wire.changes(response.body);
+    auto changes = self->platform_adapter.changes(response.body);
     if (!changes) {
-        note(*self, object_unreadable,
-             {{"kind", to_string(watched->kind)}, {"problem", changes.error().detail}});
+        log_event(*self, object_unreadable,
+                  {{"kind", to_string(watched->kind)}, {"problem", changes.error().detail}});
         watched->at = 0;
         co_return false;
     }
     const bool early = loop::steady_clock::now() < poll_started + wait * 9 / 10;
     if (changes.value().changes.empty() && early) {
-        note(*self, watch_cut,
-             {{"watch", to_string(watched->kind)},
-              {"at", watched->at},
-              {"answered_at", changes.value().at}});
+        log_event(*self, watch_cut,
+                  {{"watch", to_string(watched->kind)},
+                   {"at", watched->at},
+                   {"answered_at", changes.value().at}});
         watched->at = 0;
         co_return true;
     }
@@ -143,7 +144,7 @@
         update_known_names(*watched, changes.value().changes);
         watched->on_changes(changes.value().changes);
     }
-    note_confirmed(*self, watched->kind, current_as_of);
+    record_confirmed(*self, watched->kind, current_as_of);
     if (!changes.value().changes.empty()) {
         co_await loop::pause_for(self->io, watched->delay());
     }
@@ -151,7 +152,7 @@
 }
 
 /// Applies the response of a feeder.
-void apply_feed_response(followed& watched, feed_response& feeder_response) {
+void apply_feed_response(watched_kind& watched, feed_response& feeder_response) {
     if (watched.at == 0) {
         std::vector<stored_object> all;
         all.reserve(feeder_response.changes.size());
@@ -188,7 +189,7 @@
     }
     const auto timeout =
         watched->at == 0 ? feed_list_timeout : feed_poll_wait + feed_timeout_margin;
-    auto outcome = co_await loop::call(self->connections, feeder.where, std::move(poll_request),
+    auto outcome = co_await loop::call(self->connections, feeder.address, std::move(poll_request),
                                        loop::after(timeout), feed_connect_timeout);
     if (sends_counts && outcome.fault == loop::exchange_fault::none) {
         watched->counts_sent_to = feeder.name;
@@ -198,11 +199,11 @@
     auto decoded =
         decode_feed_response(responded && outcome.answer.status == 200 ? outcome.answer.body : "");
     if (!decoded) {
-        note(*self, feeder_lost,
-             {{"watch", to_string(watched->kind)},
-              {"feeder", feeder.name},
-              {"fault", to_string(outcome.fault)},
-              {"status", status_of(outcome)}});
+        log_event(*self, feeder_lost,
+                  {{"watch", to_string(watched->kind)},
+                   {"feeder", feeder.name},
+                   {"fault", to_string(outcome.fault)},
+                   {"status", status_of(outcome)}});
         avoid_feeder(self->avoided, feeder.name, self->now());
         co_return true;
     }
@@ -210,16 +211,16 @@
     apply_feed_response(*watched, feeder_response);
     watched->at = std::max(watched->at, feeder_response.at);
     if (feeder_response.age) {
-        note_confirmed(*self, watched->kind, requested_at - *feeder_response.age);
+        record_confirmed(*self, watched->kind, requested_at - *feeder_response.age);
     }
     co_return true;
 }
 
 /// Reads the next list or changes, from a feeder or from the store; false if the store failed.
 loop::task<bool> update_once(std::shared_ptr<host> self, watched_kind_ptr watched) {
-    auto& cache = self->kept[watched->kind];
-    const auto feeder = watched->wanted ? std::nullopt : choose_feeder(*self, watched->kind);
-    cache.live = !feeder && !watched->wanted;
+    auto& cache = self->caches[watched->kind];
+    const auto feeder = watched->is_needed ? std::nullopt : choose_feeder(*self, watched->kind);
+    cache.watching = !feeder && !watched->is_needed;
     if (feeder) {
         co_return co_await poll_feeder(self, watched, *feeder);
     }
@@ -232,14 +233,14 @@
 
 loop::task<void> keep_updated(std::shared_ptr<host> self, watched_kind_ptr watched) {
     for (;;) {
-        if (watched->wanted && !watched->wanted()) {
+        if (watched->is_needed && !watched->is_needed()) {
             watched->at = 0;
             co_await loop::pause_for(self->io, need_check_interval);
             continue;
         }
         const bool succeeded = co_await update_once(self, watched);
         if (!succeeded) {
-            co_await loop::pause_for(self->io, store_pause(*self, store_pause_most));
+            co_await loop::pause_for(self->io, store_retry_delay(*self, max_store_delay));
         }
     }
 }
@@ -250,24 +251,25 @@
     if (kind == object_kind::hosts) {
         return max_watch_wait; // no bound depends on how soon a peer is known
     }
-    const auto shortest_bound = settings.calm + std::min(settings.in_force, settings.drain);
+    const auto shortest_bound =
+        settings.stable_window + std::min(settings.config_apply_bound, settings.drain_bound);
     const auto usual_wait = std::clamp(shortest_bound - watch_timeout_margin - watch_recovery_time,
                                        min_watch_wait, max_watch_wait);
-    if (kind == object_kind::configuration && settings.revocation) {
+    if (kind == object_kind::configuration && settings.revocation_bound) {
         // A configuration passes through two hosts, each with a wait of its own; a quarter of the
         // bound is left for their delays.
-        return std::clamp(*settings.revocation / 4, min_watch_wait, usual_wait);
+        return std::clamp(*settings.revocation_bound / 4, min_watch_wait, usual_wait);
     }
     return usual_wait;
 }
 
-void start_watch(const std::shared_ptr<host>& self, followed watched) {
-    auto shared = std::make_shared<followed>(std::move(watched));
+void start_watch(const std::shared_ptr<host>& self, watched_kind watched) {
+    auto shared = std::make_shared<watched_kind>(std::move(watched));
     loop::asio::co_spawn(self->io, keep_updated(self, std::move(shared)), loop::asio::detached);
 }
 
-loop::task<void> list_once(std::shared_ptr<host> self, followed watched, bool may_be_stale) {
-    auto shared = std::make_shared<followed>(std::move(watched));
+loop::task<void> list_once(std::shared_ptr<host> self, watched_kind watched, bool may_be_stale) {
+    auto shared = std::make_shared<watched_kind>(std::move(watched));
     object_page all;
     const auto requested_at = self->clock.boot_now();
     const bool complete = co_await read_all_pages(self, shared, may_be_stale, all);
@@ -276,7 +278,7 @@
     }
     shared->on_list(all.items);
     if (!may_be_stale) {
-        note_confirmed(*self, shared->kind, requested_at);
+        record_confirmed(*self, shared->kind, requested_at);
     }
 }
 
--- a/src/front/watch.hpp
+++ b/src/front/watch.hpp
@@ -14,7 +14,7 @@
 /// a feeder or from the store.
 
 /// A kind of objects to watch, with its callbacks and the state of its watch.
-struct followed {
+struct watched_kind {
     object_kind kind;
     /// Returns the delay between receiving changes and requesting more.
     std::function<loop::milliseconds()> delay;
@@ -23,7 +23,7 @@
     std::function<void(std::span<const object_change>)> on_changes;
     /// Whether this host needs the kind now; such a kind is read only from the store. If empty, the
     /// kind is always needed and comes from a feeder if there is one.
-    std::function<bool()> wanted{};
+    std::function<bool()> is_needed{};
     std::set<std::string, std::less<>> known_names{}; ///< Names of the objects known to this host.
     /// Store revision up to which this host is current; 0: the kind must be listed first.
     std::uint64_t at = 0;
@@ -34,7 +34,7 @@
 };
 
 /// Delay for kinds whose changes must all be received immediately.
-[[nodiscard]] inline loop::milliseconds no_pause() {
+[[nodiscard]] inline loop::milliseconds no_delay() {
     return loop::milliseconds{0};
 }
 
@@ -49,10 +49,10 @@
 [[nodiscard]] loop::milliseconds watch_wait(object_kind kind, const host_settings& settings);
 
 /// Keeps the kind up to date until the event loop ends.
-void start_watch(const std::shared_ptr<host>& self, followed watched);
+void start_watch(const std::shared_ptr<host>& self, watched_kind watched);
 
 /// Lists the kind once. With `may_be_stale`, a replica of the store may serve the list, which may
 /// then be seconds old but costs a tenth.
-loop::task<void> list_once(std::shared_ptr<host> self, followed watched, bool may_be_stale);
+loop::task<void> list_once(std::shared_ptr<host> self, watched_kind watched, bool may_be_stale);
 
 } // namespace cornelloom::front
--- a/src/front/window_counts.cpp
+++ b/src/front/window_counts.cpp
@@ -6,24 +6,24 @@
 
 using json = nlohmann::json;
 
-window_number window_at(const window_counts& counts, std::int64_t unix_ms) {
-    return unix_ms / counts.length.count();
+window_number window_of(const window_counts& counts, std::int64_t unix_ms) {
+    return unix_ms / counts.window_length.count();
 }
 
-std::int64_t begin_of(const window_counts& counts, window_number window) {
-    return window * counts.length.count();
+std::int64_t window_start(const window_counts& counts, window_number window) {
+    return window * counts.window_length.count();
 }
 
-void add_one(window_counts& counts, std::string_view process, std::string_view name,
-             std::int64_t unix_ms) {
-    auto& by_name = counts.windows[window_at(counts, unix_ms)][std::string(process)];
+void increment(window_counts& counts, std::string_view process, std::string_view name,
+               std::int64_t unix_ms) {
+    auto& by_name = counts.windows[window_of(counts, unix_ms)][std::string(process)];
     ++by_name[std::string(name)];
     ++counts.changes;
 }
 
 void record_peak(window_counts& counts, std::string_view process, std::string_view name,
                  std::int64_t unix_ms, std::uint64_t concurrent) {
-    auto& by_name = counts.windows[window_at(counts, unix_ms)][std::string(process)];
+    auto& by_name = counts.windows[window_of(counts, unix_ms)][std::string(process)];
     auto& peak = by_name[std::string(name)];
     if (concurrent > peak) {
         peak = concurrent;
--- a/src/front/window_counts.hpp
+++ b/src/front/window_counts.hpp
@@ -28,7 +28,7 @@
 
 /// Counts of this process and those received from other processes.
 struct window_counts {
-    milliseconds length{5000}; ///< Length of a window.
+    milliseconds window_length{5000}; ///< Length of a window.
     /// By window, then by the process that counted.
     std::map<window_number, std::map<std::string, named_counts, std::less<>>> windows{};
     std::uint64_t changes = 0; ///< How often this process's own counts have changed.
@@ -36,14 +36,14 @@
 
 /// The window that contains the time `unix_ms`.
 
-[[nodiscard]] window_number window_at(const window_counts& counts, std::int64_t unix_ms);
+[[nodiscard]] window_number window_of(const window_counts& counts, std::int64_t unix_ms);
 
 /// Start of the window, in milliseconds of Unix time.
-[[nodiscard]] std::int64_t begin_of(const window_counts& counts, window_number window);
+[[nodiscard]] std::int64_t window_start(const window_counts& counts, window_number window);
 
 /// Increments the count of `name` by `process` in the window of `unix_ms`.
-void add_one(window_counts& counts, std::string_view process, std::string_view name,
-             std::int64_t unix_ms);
+void increment(window_counts& counts, std::string_view process, std::string_view name,
+               std::int64_t unix_ms);
 
 /// Records that `process` saw `concurrent` of `name` at the same time, `unix_ms`. The count of a
 /// window is the largest such number.
--- a/tests/front/access_tests.cpp
+++ b/tests/front/access_tests.cpp
@@ -14,7 +14,7 @@
     route out;
     out.host = host_name;
     out.path_prefix = std::move(path);
-    out.open_to_all = open_to_all;
+    out.allow_anonymous = open_to_all;
     return out;
 }
 
@@ -132,11 +132,11 @@
 
 TEST_CASE("the limits of the configuration age follow from the settings", "[front][access]") {
     host_settings settings;
-    settings.calm = 5s;
-    settings.in_force = 4s;
+    settings.stable_window = 5s;
+    settings.config_apply_bound = 4s;
     CHECK(age_limits_of(settings).max_refusal_age == 9s);
     CHECK_FALSE(age_limits_of(settings).max_key_age);
-    settings.revocation = 5s;
+    settings.revocation_bound = 5s;
     CHECK(age_limits_of(settings).max_key_age < 5s);
     CHECK(age_limits_of(settings).max_refusal_age <= 5s);
 }
--- a/tests/front/batch_tests.cpp
+++ b/tests/front/batch_tests.cpp
@@ -22,11 +22,11 @@
             batch_item item;
             item.id = "item-" + std::to_string(group) + "-" + std::to_string(i);
             item.group = "group-" + std::to_string(group);
-            item.tokens_out_hint = 100 * (i + 1);
+            item.expected_output_tokens = 100 * (i + 1);
             spec.items.push_back(item);
         }
     }
-    spec.groups_wanted = groups;
+    spec.required_groups = groups;
     return spec;
 }
 
@@ -47,7 +47,7 @@
 
 std::vector<std::string> result_ids(const batch& batch) {
     std::vector<std::string> out;
-    std::ranges::transform(batch.listed, std::back_inserter(out), &item_result::id);
+    std::ranges::transform(batch.logged_results, std::back_inserter(out), &item_result::id);
     return out;
 }
 
@@ -73,32 +73,33 @@
                             make_result(current, index, "by " + std::to_string(host_index)),
                             start_time);
             }
-            if (write_outcome == 0 || current.waiting.empty()) {
+            if (write_outcome == 0 || current.unlogged_results.empty()) {
                 continue;
             }
-            auto entry = next_entry(current, max_bytes);
+            auto entry = make_next_entry(current, max_bytes);
             entry.writer = std::to_string(host_index);
             entry.nonce = ++nonce;
-            if (current.next_entry < stored_log.size()) {
-                apply_entry(current, current.next_entry,
-                            stored_log[current.next_entry]); // the other host was first
+            if (current.next_entry_number < stored_log.size()) {
+                apply_entry(current, current.next_entry_number,
+                            stored_log[current.next_entry_number]); // the other host was first
                 continue;
             }
             stored_log.push_back(entry);
             if (write_outcome != 1) { // otherwise the response is lost, and the entry is read later
-                apply_entry(current, current.next_entry, entry);
+                apply_entry(current, current.next_entry_number, entry);
             }
         }
         for (auto& current : hosts) {
-            while (current.next_entry < stored_log.size()) {
-                apply_entry(current, current.next_entry, stored_log[current.next_entry]);
+            while (current.next_entry_number < stored_log.size()) {
+                apply_entry(current, current.next_entry_number,
+                            stored_log[current.next_entry_number]);
             }
         }
         RC_ASSERT(result_ids(hosts[0]) == result_ids(hosts[1]));
         const auto listed = result_ids(hosts[0]);
         RC_ASSERT(std::set<std::string>(listed.begin(), listed.end()).size() == listed.size());
         for (std::size_t i = 0; i < listed.size(); ++i) {
-            RC_ASSERT(hosts[0].listed[i].text == hosts[1].listed[i].text);
+            RC_ASSERT(hosts[0].logged_results[i].text == hosts[1].logged_results[i].text);
         }
     });
 }
@@ -108,48 +109,49 @@
     // one.
     auto batch = make_test_batch(2, 2);
     finish_item(batch, make_result(batch, 0), start_time);
-    CHECK(batch.listed.empty());
-    apply_entry(batch, batch.next_entry, next_entry(batch, max_bytes));
-    CHECK(batch.listed.size() == 1);
-    CHECK(batch.waiting.empty());
+    CHECK(batch.logged_results.empty());
+    apply_entry(batch, batch.next_entry_number, make_next_entry(batch, max_bytes));
+    CHECK(batch.logged_results.size() == 1);
+    CHECK(batch.unlogged_results.empty());
 }
 
 TEST_CASE("the log is written rarely until a caller waits for results", "[front][batch][flush]") {
     // A hundred results arrive within seconds, and the store charges for each write of the log. No
     // caller can use a result before the last wanted group is complete.
-    const flush_rules rules;
+    const flush_policy rules;
     const auto deadline = start_time + 7500ms;
     auto batch = make_test_batch(3, 2);
     batch.last_flush = start_time;
     SECTION("nothing has finished") {
-        CHECK_FALSE(next_flush(batch, rules, deadline));
+        CHECK_FALSE(next_flush_time(batch, rules, deadline));
     }
     SECTION("some items have finished") {
         finish_item(batch, make_result(batch, 0), start_time + 100ms);
-        CHECK(*next_flush(batch, rules, deadline) == start_time + 100ms + rules.normal_interval);
+        CHECK(*next_flush_time(batch, rules, deadline) ==
+              start_time + 100ms + rules.normal_interval);
     }
     SECTION("the last wanted group is complete") {
         for (std::size_t i = 0; i < batch.items.size(); ++i) {
             finish_item(batch, make_result(batch, i), start_time + 100ms);
         }
-        CHECK(*next_flush(batch, rules, deadline) == start_time + rules.urgent_interval);
+        CHECK(*next_flush_time(batch, rules, deadline) == start_time + rules.urgent_interval);
     }
     SECTION("the deadline is near") {
         finish_item(batch, make_result(batch, 0), deadline - 1s);
         batch.last_flush = deadline - 200ms;
-        CHECK(*next_flush(batch, rules, deadline) == batch.last_flush + rules.urgent_interval);
+        CHECK(*next_flush_time(batch, rules, deadline) == batch.last_flush + rules.urgent_interval);
     }
     SECTION("unwritten results are written before the deadline, however few") {
         finish_item(batch, make_result(batch, 0), deadline - 1s);
         batch.last_flush = deadline - 900ms;
-        CHECK(*next_flush(batch, rules, deadline) < deadline);
+        CHECK(*next_flush_time(batch, rules, deadline) < deadline);
     }
     SECTION("the last texts of a step end one by one") {
         // Guards against a caller that is woken by each of them and not waiting when the last
         // arrives.
         finish_item(batch, make_result(batch, 0), deadline - 1100ms);
         batch.last_flush = deadline - 1200ms;
-        CHECK(*next_flush(batch, rules, deadline) > deadline - 500ms);
+        CHECK(*next_flush_time(batch, rules, deadline) > deadline - 500ms);
     }
 }
 
@@ -157,16 +159,16 @@
     // A tenth of the items run five times as long as the rest. In submission order one of them may
     // start last, and the whole step then ends seconds late.
     auto batch = make_test_batch(2, 3);
-    const auto order = startable(batch, start_time);
-    CHECK(batch.spec.items[order.front()].tokens_out_hint == 300);
-    CHECK(batch.spec.items[order.back()].tokens_out_hint == 100);
+    const auto order = startable_items(batch, start_time);
+    CHECK(batch.spec.items[order.front()].expected_output_tokens == 300);
+    CHECK(batch.spec.items[order.back()].expected_output_tokens == 100);
     SECTION("but an item with partial output starts before all others") {
-        batch.items[0].done.last_event = 4;
-        CHECK(startable(batch, start_time).front() == 0);
+        batch.items[0].output.last_event = 4;
+        CHECK(startable_items(batch, start_time).front() == 0);
     }
     SECTION("and one that has just failed is delayed") {
         batch.items[order.front()].not_before = start_time + 50ms;
-        CHECK(startable(batch, start_time).size() == 5);
+        CHECK(startable_items(batch, start_time).size() == 5);
     }
 }
 
@@ -175,14 +177,14 @@
     // again, which takes seconds, the step would be late.
     auto owner = make_test_batch(1, 2);
     owner.items[1].phase = item_phase::running;
-    owner.items[1].done = {20, "twenty events", {3}, false};
+    owner.items[1].output = {20, "twenty events", {3}, false};
     finish_item(owner, make_result(owner, 0), start_time);
-    const auto entry = next_entry(owner, max_bytes);
+    const auto entry = make_next_entry(owner, max_bytes);
     auto successor = make_test_batch(1, 2);
     apply_entry(successor, 0, entry);
-    CHECK(successor.items[1].done.last_event == 20);
-    CHECK(successor.items[1].done.text == "twenty events");
-    CHECK(successor.items[1].done.versions == std::vector{3});
+    CHECK(successor.items[1].output.last_event == 20);
+    CHECK(successor.items[1].output.text == "twenty events");
+    CHECK(successor.items[1].output.versions == std::vector{3});
 }
 
 TEST_CASE("an entry never exceeds the maximum object size of the store", "[front][batch][flush]") {
@@ -192,20 +194,20 @@
     auto batch = make_test_batch(12, 16);
     for (std::size_t i = 0; i < batch.items.size(); ++i) {
         if (i % 3 == 0) {
-            batch.items[i].done = {30, std::string(20000, 'x'), {3}, false};
+            batch.items[i].output = {30, std::string(20000, 'x'), {3}, false};
         } else {
             finish_item(batch, make_result(batch, i, std::string(20000, 'x')), start_time);
         }
     }
     std::size_t entries = 0;
-    while (!batch.waiting.empty()) {
-        const auto entry = next_entry(batch, max_bytes);
+    while (!batch.unlogged_results.empty()) {
+        const auto entry = make_next_entry(batch, max_bytes);
         REQUIRE(encode_entry(entry).size() <= max_bytes);
         REQUIRE_FALSE(entry.results.empty());
-        apply_entry(batch, batch.next_entry, entry);
+        apply_entry(batch, batch.next_entry_number, entry);
         ++entries;
     }
-    CHECK(batch.listed.size() == 128);
+    CHECK(batch.logged_results.size() == 128);
     CHECK(entries < 8);
 }
 
@@ -220,16 +222,16 @@
     takeover.new_owner = "host-b";
     CHECK(apply_entry(batch, 0, takeover));
     CHECK_FALSE(apply_entry(batch, 0, takeover));
-    CHECK(batch.next_entry == 1);
+    CHECK(batch.next_entry_number == 1);
     CHECK_FALSE(apply_entry(batch, 5, takeover));
-    CHECK(batch.next_entry == 1);
+    CHECK(batch.next_entry_number == 1);
 }
 
 TEST_CASE("a caller ends a batch by an entry of the log", "[front][batch]") {
     auto batch = make_test_batch(1, 2);
     log_entry entry;
     entry.ends = true;
-    apply_entry(batch, batch.next_entry, entry);
+    apply_entry(batch, batch.next_entry_number, entry);
     CHECK(is_over(batch));
 }
 
--- a/tests/front/early_start_tests.cpp
+++ b/tests/front/early_start_tests.cpp
@@ -25,17 +25,18 @@
     // Guards against reporting a batch as not run while a target runs one of its items.
     using outcome = early_outcome;
     using answer = submission_answer;
-    CHECK(judge_submission(store_fault::refused, outcome::nothing_sent) == answer::refuse);
-    CHECK(judge_submission(store_fault::refused, outcome::may_have_run) == answer::fail);
-    CHECK(judge_submission(store_fault::unknown, outcome::nothing_sent) == answer::fail);
-    CHECK(judge_submission(store_fault::unknown, outcome::may_have_run) == answer::fail);
+    CHECK(choose_submission_answer(store_outcome::refused, outcome::nothing_sent) ==
+          answer::refuse);
+    CHECK(choose_submission_answer(store_outcome::refused, outcome::may_have_run) == answer::fail);
+    CHECK(choose_submission_answer(store_outcome::unknown, outcome::nothing_sent) == answer::fail);
+    CHECK(choose_submission_answer(store_outcome::unknown, outcome::may_have_run) == answer::fail);
 }
 
 TEST_CASE("a batch that is stored is accepted whatever the result of its early start",
           "[front][early]") {
-    for (const auto stored : {store_fault::none, store_fault::conflict}) {
+    for (const auto stored : {store_outcome::none, store_outcome::conflict}) {
         for (const auto early : {early_outcome::nothing_sent, early_outcome::may_have_run}) {
-            CHECK(judge_submission(stored, early) == submission_answer::accept);
+            CHECK(choose_submission_answer(stored, early) == submission_answer::accept);
         }
     }
 }
@@ -43,8 +44,8 @@
 TEST_CASE("storing a submission is retried for as long as its caller waits",
           "[front][early][store]") {
     // Guards against a refusal after three quick attempts, half a second before the store recovers.
-    CHECK(storing_time(12s) > 11s);
-    CHECK(storing_time(12s) < 12s);
-    CHECK(storing_time(100ms) == 0ms);
-    CHECK(storing_time(std::nullopt) >= 5s);
+    CHECK(storage_timeout(12s) > 11s);
+    CHECK(storage_timeout(12s) < 12s);
+    CHECK(storage_timeout(100ms) == 0ms);
+    CHECK(storage_timeout(std::nullopt) >= 5s);
 }
--- a/tests/front/feed_tests.cpp
+++ b/tests/front/feed_tests.cpp
@@ -19,14 +19,14 @@
 
 /// The cache of a feeder that has just listed three objects at revision 40 and received one change
 /// since.
-kept_kind new_feeder_cache(cornelloom::loop::io_context& io) {
-    kept_kind out(io);
+feed_cache new_feeder_cache(cornelloom::loop::io_context& io) {
+    feed_cache out(io);
     for (const auto& object : {object_at("a", 10), object_at("b", 35), object_at("c", 41)}) {
         out.objects.emplace(object.name, object);
     }
-    out.oldest = 40;
+    out.history_start = 40;
     out.at = 41;
-    out.recent.push_back({41, {{object_at("c", 41), false}}});
+    out.history.push_back({41, {{object_at("c", 41), false}}});
     return out;
 }
 
@@ -61,13 +61,13 @@
     // Failure: a feeder encoded three thousand changes for each of fifty hosts, which blocked it
     // for a third of a second each time; the hosts had timed out before they read the response.
     cornelloom::loop::io_context io(1);
-    kept_kind cache(io);
-    cache.oldest = 1;
+    feed_cache cache(io);
+    cache.history_start = 1;
     for (std::uint64_t revision = 2; revision <= 31; ++revision) {
-        cache.recent.push_back({revision, {}});
+        cache.history.push_back({revision, {}});
         for (int each = 0; each < 100; ++each) {
             const auto name = std::to_string(revision) + "-" + std::to_string(each);
-            cache.recent.back().changes.push_back({object_at(name, revision), false});
+            cache.history.back().changes.push_back({object_at(name, revision), false});
         }
         cache.at = revision;
     }
@@ -88,7 +88,7 @@
         CHECK(decode_feed_response(encode_updates_once(cache, 1)).value().at == 6);
     }
     SECTION("and a larger step is sent whole") {
-        for (auto& step : cache.recent) {
+        for (auto& step : cache.history) {
             step.changes.resize(600);
         }
         CHECK(updates_since(cache, 1).changes.size() == 600);
@@ -100,7 +100,7 @@
     cornelloom::loop::io_context io(1);
     auto cache = new_feeder_cache(io);
     CHECK(decode_feed_response(encode_updates_once(cache, 40)).value().at == 41);
-    cache.recent.push_back({42, {{object_at("d", 42), false}}});
+    cache.history.push_back({42, {{object_at("d", 42), false}}});
     cache.at = 42;
     CHECK(decode_feed_response(encode_updates_once(cache, 40)).value().changes.size() == 2);
 }
--- a/tests/front/feeder_choice_tests.cpp
+++ b/tests/front/feeder_choice_tests.cpp
@@ -37,7 +37,7 @@
         host_entry entry;
         entry.name = "front-" + std::to_string(100 + index);
         entry.zone = "krakow-a";
-        entry.processor = index < 3 ? 0.5 : 0.12;
+        entry.cpu_share = index < 3 ? 0.5 : 0.12;
         out.entries.emplace(entry.name, entry);
         out.hosts.push_back({entry});
     }
@@ -56,7 +56,7 @@
     }
     auto peers = simulated.entries;
     peers.erase(member.entry.name);
-    return first_of_zone(member.entry, peers, member.avoided, simulated.now);
+    return first_zone_host(member.entry, peers, member.avoided, simulated.now);
 }
 
 /// Lets every live host poll its feeder once. Returns the hosts that watch the store instead.
--- a/tests/front/load_limit_tests.cpp
+++ b/tests/front/load_limit_tests.cpp
@@ -43,13 +43,13 @@
             const bool over = load.remaining_ms <= -notice_delay_ms;
             if (over) {
                 const milliseconds duration(static_cast<std::int64_t>(now_ms - load.started_ms));
-                note_load(limit, {duration, concurrent, load.lowered});
+                record_load(limit, {duration, concurrent, load.lowered});
                 ++finished;
             }
             return over;
         });
-        while (loads.size() < std::min(loads_at_once(limit), targets)) {
-            loads.push_back({alone_ms, now_ms, limit.lowered});
+        while (loads.size() < std::min(max_concurrent_loads(limit), targets)) {
+            loads.push_back({alone_ms, now_ms, limit.times_lowered});
         }
         max_concurrent = std::max(max_concurrent, loads.size());
     }
@@ -75,7 +75,7 @@
     source.finished = 0;
     source.run_for(60);
     const double reachable = std::min(capacity, static_cast<double>(targets));
-    CAPTURE(targets, capacity, source.max_concurrent, source.limit.allowed);
+    CAPTURE(targets, capacity, source.max_concurrent, source.limit.max_loads);
     CHECK(static_cast<double>(source.max_concurrent) <= 2 * reachable + 1);
     CHECK(source.finished >= 0.8 * 60 * 1000 / alone_ms * reachable);
 }
@@ -112,25 +112,25 @@
     // Guards against a limit that drops to the minimum: loads that started before it was lowered
     // finish later and later, and each of them would lower it again.
     load_limit limit;
-    limit.allowed = 30;
+    limit.max_loads = 30;
     limit.shortest_ms = alone_ms;
     for (int load = 0; load < 30; ++load) {
-        note_load(limit, {milliseconds(2700), 30, 0});
+        record_load(limit, {milliseconds(2700), 30, 0});
     }
-    CHECK(limit.lowered == 1);
-    CHECK(limit.allowed >= 10);
+    CHECK(limit.times_lowered == 1);
+    CHECK(limit.max_loads >= 10);
 }
 
 TEST_CASE("a limit that learns from a sample of the loads grows as if it saw all",
           "[front][load_limit]") {
     load_limit each;
     load_limit sampled;
-    each.lowered = sampled.lowered = 1;
+    each.times_lowered = sampled.times_lowered = 1;
     for (int load = 0; load < 40; ++load) {
-        note_load(each, {milliseconds(900), 4, 1});
+        record_load(each, {milliseconds(900), 4, 1});
         if (load % 4 == 0) {
-            note_load(sampled, {milliseconds(900), 4, 1, 4});
+            record_load(sampled, {milliseconds(900), 4, 1, 4});
         }
     }
-    CHECK(sampled.allowed > each.allowed * 0.95);
+    CHECK(sampled.max_loads > each.max_loads * 0.95);
 }
--- a/tests/front/load_plan_tests.cpp
+++ b/tests/front/load_plan_tests.cpp
@@ -27,7 +27,8 @@
     load_timing timing{};
     load_limit limit{};
     std::map<std::string, int> started_ms{}; ///< Start of the load in progress, by target.
-    std::map<std::string, std::uint64_t> limit_changes{}; ///< `load_limit::lowered` at that time.
+    std::map<std::string, std::uint64_t>
+        limit_changes{}; ///< `load_limit::times_lowered` at that time.
     int now_ms = 0;
     int loads = 0;
     int min_recent_targets =
@@ -71,8 +72,8 @@
                 busy > max_undisturbed_loads ? step_ms * max_undisturbed_loads / busy : step_ms;
             remaining_ms[target.id] -= progress_ms;
             if (remaining_ms[target.id] <= 0 && !target.presumed_loaded) {
-                note_load(limit, {std::chrono::milliseconds(now_ms - started_ms[target.id]),
-                                  static_cast<std::size_t>(busy), limit_changes[target.id]});
+                record_load(limit, {std::chrono::milliseconds(now_ms - started_ms[target.id]),
+                                    static_cast<std::size_t>(busy), limit_changes[target.id]});
             }
             target.presumed_loaded = remaining_ms[target.id] <= 0;
             if (remaining_ms[target.id] <= -list_delay_ms) {
@@ -80,13 +81,14 @@
                 loading.erase(target.id);
             }
         }
-        for (const auto& choice : plan_loads(demands, targets, loads_at_once(limit), timing)) {
+        for (const auto& choice :
+             plan_loads(demands, targets, max_concurrent_loads(limit), timing)) {
             auto& target = *std::ranges::find(targets, choice.target, &load_candidate::id);
             target.busy = true;
             target.versions[choice.model] = choice.version;
             remaining_ms[target.id] = load_duration_ms;
             started_ms[target.id] = now_ms;
-            limit_changes[target.id] = limit.lowered;
+            limit_changes[target.id] = limit.times_lowered;
             loading[target.id] = choice;
             ++loads;
         }
@@ -124,7 +126,8 @@
     const int rounds = 12;
     simulation.run_rounds(rounds);
     CHECK(simulation.min_recent_targets >= 2);
-    // On average each target loads at most one version per round.
+    // The platform loads as many versions free of charge as there are targets, for each published
+    // version, shared alike by the trainers: on average one load per target and round.
     CHECK(simulation.loads <= rounds * targets_and_models.first);
 }
 
@@ -170,7 +173,7 @@
     constexpr int models = 6;
     load_simulation simulation(targets, models);
     simulation.list_delay_ms = 500;
-    simulation.limit.allowed =
+    simulation.limit.max_loads =
         simulation.max_undisturbed_loads; // the next holder reads it from the lease
     simulation.timing = {std::chrono::milliseconds(load_duration_ms),
                          std::chrono::milliseconds(version_interval_ms)};
--- a/tests/front/placement_tests.cpp
+++ b/tests/front/placement_tests.cpp
@@ -22,8 +22,8 @@
         entry.zone = "zone-a";
         entry.slots = slots;
         entry.versions["notes"] = 5;
-        put_target(table, entry, now);
-        table.by_id[entry.id].pace_ms = 40;
+        upsert_target(table, entry, now);
+        table.by_id[entry.id].event_interval_ms = 40;
     }
     return table;
 }
@@ -37,22 +37,22 @@
     return typical;
 }
 
-const distance origin{1, "zone-a", nullptr};
+const host_location origin{1, "zone-a", nullptr};
 
 target_state* choose_target(target_table& table, const run_requirements& requirements,
-                            const distance& from, time_point when) {
+                            const host_location& from, time_point when) {
     auto round = begin_placement(table, from, when);
     return choose_target(round, requirements);
 }
 
 bool faster_target_soon(target_table& table, const run_requirements& requirements,
-                        const target_state& available, const distance& from, time_point when) {
+                        const target_state& available, const host_location& from, time_point when) {
     auto round = begin_placement(table, from, when);
     return faster_target_soon(round, requirements, available);
 }
 
 run_decision evaluate_run(target_table& table, target_state& current, const run_progress& progress,
-                          const run_requirements& requirements, const distance& from,
+                          const run_requirements& requirements, const host_location& from,
                           time_point when) {
     auto round = begin_placement(table, from, when);
     return evaluate_run(round, current, progress, requirements);
@@ -64,7 +64,7 @@
     for (int index = 0; index < items; ++index) {
         if (auto* target = choose_target(table, typical_requirements(), origin, now)) {
             ++target->running;
-            ++target->unstarted;
+            ++target->awaiting_first_event;
             ++items_per_target[target->entry.id];
         }
     }
@@ -85,7 +85,7 @@
     SECTION("once these have started, more follow until all slots are in use") {
         for (int round = 0; round < 6; ++round) {
             for (auto& [id, target] : table.by_id) {
-                target.unstarted = 0;
+                target.awaiting_first_event = 0;
             }
             place_burst(table, 80);
         }
@@ -100,16 +100,16 @@
     // it lost, and each one that took the batch over blocked in turn.
     auto table = make_table(1000, 1);
     for (auto& [id, target] : table.by_id) {
-        target.pace_ms = 0;
+        target.event_interval_ms = 0;
     }
-    table.by_id["target-0"].pace_ms = 40;
+    table.by_id["target-0"].event_interval_ms = 40;
     const auto started = std::clock();
     auto round = begin_placement(table, origin, now);
     for (int index = 0; index < 200; ++index) {
         auto* target = choose_target(round, typical_requirements());
         REQUIRE(target != nullptr);
         ++target->running;
-        ++target->unstarted;
+        ++target->awaiting_first_event;
         REQUIRE_FALSE(faster_target_soon(round, typical_requirements(), *target));
     }
     for (auto& [id, target] : table.by_id) {
@@ -125,7 +125,7 @@
     // A long item on a target that is three times as slow completes seconds after the deadline of
     // its step.
     auto table = make_table(4);
-    table.by_id["target-0"].pace_ms = 120;
+    table.by_id["target-0"].event_interval_ms = 120;
     CHECK_FALSE(place_burst(table, 12).contains("target-0"));
 }
 
@@ -154,7 +154,7 @@
         target.loading_until["notes"] = now + 100ms;
     }
     SECTION("failed") {
-        note_fault(target, now);
+        record_request_failure(target, now);
     }
     CHECK(choose_target(table, typical_requirements(), origin, now) == nullptr);
 }
@@ -162,7 +162,7 @@
 TEST_CASE("a run moves if that saves more time than the move costs", "[front][placement][move]") {
     auto table = make_table(3);
     auto& slow = table.by_id["target-0"];
-    slow.pace_ms = 130;
+    slow.event_interval_ms = 130;
     const run_progress progress{20, true};
     CHECK(evaluate_run(table, slow, progress, typical_requirements(), origin, now) ==
           run_decision::move_slow);
@@ -180,7 +180,7 @@
     }
     SECTION("nor when all are equally slow") {
         for (auto& [id, target] : table.by_id) {
-            target.pace_ms = 130;
+            target.event_interval_ms = 130;
         }
         CHECK(evaluate_run(table, slow, progress, typical_requirements(), origin, now) ==
               run_decision::stay);
@@ -206,12 +206,12 @@
     // while another target could start it at once.
     auto table = make_table(2);
     auto& full = table.by_id["target-0"];
-    full.unstarted = 4;
+    full.awaiting_first_event = 4;
     const run_progress waiting{600, false};
     CHECK(evaluate_run(table, full, waiting, typical_requirements(), origin, now) ==
           run_decision::move_queued);
     SECTION("but stays if items are queued there as well") {
-        table.by_id["target-1"].unstarted = 1;
+        table.by_id["target-1"].awaiting_first_event = 1;
         CHECK(evaluate_run(table, full, waiting, typical_requirements(), origin, now) ==
               run_decision::stay);
     }
@@ -225,23 +225,23 @@
     int index = 0;
     for (auto& [id, target] : table.by_id) {
         const double pace = index++ % 3 == 2 ? 65 : 50;
-        target.pace_ms = 0;
+        target.event_interval_ms = 0;
         for (int event = 0; event < 40; ++event) {
-            note_event_gap(target, pace);
+            record_event_interval(target, pace);
         }
     }
     return table;
 }
 
 bool is_fast(const target_state& target) {
-    return likely_pace(target) < 60;
+    return expected_event_interval(target) < 60;
 }
 
 /// Gives each fast target as many unstarted runs as it may have.
 void fill_fast_targets(target_table& table) {
     for (auto& [id, target] : table.by_id) {
         if (is_fast(target)) {
-            target.running = target.unstarted = 2;
+            target.running = target.awaiting_first_event = 2;
         }
     }
 }
@@ -273,7 +273,7 @@
     }
     SECTION("nor for one that is only slightly faster") {
         for (auto& [id, target] : table.by_id) {
-            target.steady_pace_ms = is_fast(target) ? 50 : 54;
+            target.long_term_event_interval_ms = is_fast(target) ? 50 : 54;
         }
         CHECK_FALSE(faster_target_soon(table, long_text, *slow, origin, now));
     }
--- a/tests/front/store_ways_tests.cpp
+++ b/tests/front/store_ways_tests.cpp
@@ -24,7 +24,7 @@
             calls += 2; // each of two peers relays it
             record_failure(paths, true, now);
         }
-        now += pause_after(paths, store_pause_most, no_jitter);
+        now += retry_delay(paths, max_store_delay, no_jitter);
     }
     return calls;
 }
@@ -45,7 +45,7 @@
     CHECK_FALSE(plan.direct_first);
     CHECK(plan.direct_last);
     record_response(paths, true, start + 120ms);
-    CHECK(pause_after(paths, store_pause_most, no_jitter) == initial_store_delay);
+    CHECK(retry_delay(paths, max_store_delay, no_jitter) == initial_store_delay);
 }
 
 TEST_CASE("the direct path is tried again after a second", "[front][store]") {
@@ -72,9 +72,9 @@
     for (int call = 0; call < 4; ++call) {
         record_failure(paths, false, start + call * 10ms);
     }
-    CHECK(pause_after(paths, store_pause_most, no_jitter) == initial_store_delay);
+    CHECK(retry_delay(paths, max_store_delay, no_jitter) == initial_store_delay);
     record_failure(paths, false, start + 200ms);
-    CHECK(pause_after(paths, store_pause_most, no_jitter) == 2 * initial_store_delay);
+    CHECK(retry_delay(paths, max_store_delay, no_jitter) == 2 * initial_store_delay);
 }
 
 TEST_CASE("backoff delays differ between hosts and stay bounded", "[front][store]") {
@@ -82,9 +82,9 @@
     for (int failure = 0; failure < 40; ++failure) {
         record_failure(paths, false, start + failure * 1s);
     }
-    CHECK(pause_after(paths, store_pause_most, 0) < pause_after(paths, store_pause_most, 1));
-    CHECK(pause_after(paths, store_pause_most, 1) <= store_pause_most * 5 / 4);
-    CHECK(pause_after(paths, store_pause_awaited, 1) <= store_pause_awaited * 5 / 4);
+    CHECK(retry_delay(paths, max_store_delay, 0) < retry_delay(paths, max_store_delay, 1));
+    CHECK(retry_delay(paths, max_store_delay, 1) <= max_store_delay * 5 / 4);
+    CHECK(retry_delay(paths, max_awaited_store_delay, 1) <= max_awaited_store_delay * 5 / 4);
 }
 
 TEST_CASE("a relayed response does not show that the direct path works", "[front][store][cut]") {
--- a/tests/front/targets_tests.cpp
+++ b/tests/front/targets_tests.cpp
@@ -22,21 +22,21 @@
 target_table make_table(int count) {
     target_table table;
     for (int at = 0; at < count; ++at) {
-        put_target(table, entry("target-" + std::to_string(at)), now);
+        upsert_target(table, entry("target-" + std::to_string(at)), now);
     }
     return table;
 }
 
 const std::map<std::string, std::string, std::less<>> regions{
     {"zone-a", "east"}, {"zone-b", "east"}, {"zone-c", "west"}};
-const distance origin{1, "zone-a", &regions};
+const host_location origin{1, "zone-a", &regions};
 
 } // namespace
 
 TEST_CASE("a burst of short requests is balanced over the targets", "[front][targets]") {
     auto table = make_table(4);
     for (int at = 0; at < 24; ++at) {
-        ++choose_plain(table, "pages", origin, {}, now)->running;
+        ++choose_target(table, "pages", origin, {}, now)->running;
     }
     for (const auto& [id, target] : table.by_id) {
         CHECK(target.running == 6);
@@ -48,11 +48,11 @@
     // request.
     auto table = make_table(4);
     for (auto& [id, target] : table.by_id) {
-        note_answer(target, 25);
+        record_answer(target, 25);
     }
-    note_answer(table.by_id["target-2"], 900);
+    record_answer(table.by_id["target-2"], 900);
     for (int at = 0; at < 12; ++at) {
-        auto* chosen = choose_plain(table, "pages", origin, {}, now);
+        auto* chosen = choose_target(table, "pages", origin, {}, now);
         CHECK(chosen->entry.id != "target-2");
         ++chosen->running;
     }
@@ -63,30 +63,30 @@
     // show the fault.
     auto table = make_table(3);
     for (auto& [id, target] : table.by_id) {
-        note_answer(target, 25);
+        record_answer(target, 25);
     }
     auto& failing = table.by_id["target-1"];
     for (int at = 0; at < 3; ++at) {
-        note_fault(failing, now);
-        note_answer(failing, 5);
+        record_request_failure(failing, now);
+        record_answer(failing, 5);
     }
-    CHECK(choose_plain(table, "pages", origin, {}, now + 10s)->entry.id != "target-1");
+    CHECK(choose_target(table, "pages", origin, {}, now + 10s)->entry.id != "target-1");
 }
 
 TEST_CASE("a target in backoff is used if there is no other", "[front][targets]") {
     auto table = make_table(1);
-    note_fault(table.by_id["target-0"], now);
-    CHECK(choose_plain(table, "pages", origin, {}, now) != nullptr);
-    CHECK(choose_plain(table, "pages", origin, {"target-0"}, now) == nullptr);
+    record_request_failure(table.by_id["target-0"], now);
+    CHECK(choose_target(table, "pages", origin, {}, now) != nullptr);
+    CHECK(choose_target(table, "pages", origin, {"target-0"}, now) == nullptr);
 }
 
 TEST_CASE("targets in the same region are preferred until they are busy", "[front][targets]") {
     target_table table;
-    put_target(table, entry("near", "zone-a"), now);
-    put_target(table, entry("far", "zone-c"), now);
-    CHECK(choose_plain(table, "pages", origin, {}, now)->entry.id == "near");
+    upsert_target(table, entry("near", "zone-a"), now);
+    upsert_target(table, entry("far", "zone-c"), now);
+    CHECK(choose_target(table, "pages", origin, {}, now)->entry.id == "near");
     table.by_id["near"].running = 20;
-    CHECK(choose_plain(table, "pages", origin, {}, now)->entry.id == "far");
+    CHECK(choose_target(table, "pages", origin, {}, now)->entry.id == "far");
 }
 
 TEST_CASE("targets missing from the list after a platform outage are kept for a grace period",
@@ -95,18 +95,18 @@
     // targets disappear from the list and return within two seconds; dropping them would reject all
     // requests until then.
     auto table = make_table(3);
-    note_return(table, now);
+    record_platform_return(table, now);
     replace_targets(table, {entry("target-1")}, now);
     CHECK(table.by_id.size() == 3);
     SECTION("a target that is listed again stays") {
-        put_target(table, entry("target-0"), now + 1s);
-        expire_vanished(table, now + 3s);
+        upsert_target(table, entry("target-0"), now + 1s);
+        remove_expired_targets(table, now + 3s);
         CHECK(table.by_id.contains("target-0"));
     }
     SECTION("a target that is still missing is removed") {
-        expire_vanished(table, now + 2s);
+        remove_expired_targets(table, now + 2s);
         CHECK(table.by_id.contains("target-2"));
-        expire_vanished(table, now + removal_grace_period);
+        remove_expired_targets(table, now + removal_grace_period);
         CHECK_FALSE(table.by_id.contains("target-2"));
     }
     SECTION("a removal after the grace period takes effect at once") {
@@ -121,22 +121,22 @@
     // second; 2.6 s later one of them still got items and ended them incomplete. The removals
     // arrived in one update and were taken for heartbeats that expired in an outage, although the
     // store had been available all the time.
-    CHECK_FALSE(have_lapsed(3, 60s, 4s));
-    CHECK_FALSE(have_lapsed(3, 3s, 4s));
+    CHECK_FALSE(are_expired_entries(3, 60s, 4s));
+    CHECK_FALSE(are_expired_entries(3, 3s, 4s));
     SECTION("after an outage they are taken for expired entries") {
-        CHECK(have_lapsed(3, 500ms, 4s));
+        CHECK(are_expired_entries(3, 500ms, 4s));
     }
     SECTION("a single removal is never taken for an expired entry") {
-        CHECK_FALSE(have_lapsed(1, 500ms, 4s));
+        CHECK_FALSE(are_expired_entries(1, 500ms, 4s));
     }
 }
 
 TEST_CASE("a restarted target loses its statistics", "[front][targets]") {
     auto table = make_table(1);
-    note_answer(table.by_id["target-0"], 300);
+    record_answer(table.by_id["target-0"], 300);
     auto again = entry("target-0");
-    again.born_ms = 77;
-    put_target(table, again, now);
+    again.started_unix_ms = 77;
+    upsert_target(table, again, now);
     CHECK(table.by_id["target-0"].latency_ms == 0);
 }
 
@@ -145,10 +145,10 @@
     auto newer = entry("target-0");
     newer.revision = 9;
     newer.draining = true;
-    put_target(table, newer, now);
+    upsert_target(table, newer, now);
     auto older = entry("target-0");
     older.revision = 4;
-    put_target(table, older, now);
+    upsert_target(table, older, now);
     CHECK(table.by_id["target-0"].entry.draining);
 }
 
@@ -188,19 +188,19 @@
     // second saved.
     target_state target;
     for (int event = 0; event < 100; ++event) {
-        note_event_gap(target, event % 2 == 0 ? 60 : 40);
+        record_event_interval(target, event % 2 == 0 ? 60 : 40);
     }
-    CHECK(likely_pace(target) == Approx(50).epsilon(0.05));
+    CHECK(expected_event_interval(target) == Approx(50).epsilon(0.05));
     SECTION("during a slowdown the newest events count") {
         for (int event = 0; event < 30; ++event) {
-            note_event_gap(target, 170);
+            record_event_interval(target, 170);
         }
-        CHECK(likely_pace(target) > 150);
+        CHECK(expected_event_interval(target) > 150);
         SECTION("after the slowdown the long-term interval counts again") {
             for (int event = 0; event < 30; ++event) {
-                note_event_gap(target, 50);
+                record_event_interval(target, 50);
             }
-            CHECK(likely_pace(target) < 65);
+            CHECK(expected_event_interval(target) < 65);
         }
     }
 }
--- a/tests/front/usage_report_tests.cpp
+++ b/tests/front/usage_report_tests.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 const window_counts windows{};
-const auto rules = rules_for(10s);
+const auto rules = report_rules_for(10s);
 constexpr window_number first = 340'000'000;
 
 std::int64_t end_of(window_number window) {
-    return begin_of(windows, window + 1);
+    return window_start(windows, window + 1);
 }
 
 } // namespace
@@ -36,7 +36,7 @@
     const auto now = end_of(first + 1000);
     const auto next = next_window_to_report(windows, first, first, now, rules);
     REQUIRE(next);
-    CHECK(now - end_of(*next) <= rules.kept.count());
+    CHECK(now - end_of(*next) <= rules.retention.count());
 }
 
 TEST_CASE("a host that does not respond delays a report only until the cutoff",
--- a/tests/front/watch_tests.cpp
+++ b/tests/front/watch_tests.cpp
@@ -21,12 +21,12 @@
     host_settings settings;
     for (const auto kind :
          {object_kind::configuration, object_kind::targets, object_kind::versions}) {
-        settings.calm = 4s;
-        settings.in_force = 2500ms;
-        settings.drain = 2500ms;
+        settings.stable_window = 4s;
+        settings.config_apply_bound = 2500ms;
+        settings.drain_bound = 2500ms;
         CHECK(watch_wait(kind, settings) + watch_recovery <= 4s + 2500ms);
-        settings.calm = 5s;
-        settings.in_force = 4s;
+        settings.stable_window = 5s;
+        settings.config_apply_bound = 4s;
         CHECK(watch_wait(kind, settings) + watch_recovery <= 5s + 2500ms);
     }
 }
@@ -44,13 +44,13 @@
     // Guards against hosts that refuse valid keys because their configuration is not confirmed as
     // current in time: one host watches the store, and the others poll it.
     host_settings settings;
-    settings.calm = 5s;
-    settings.in_force = 4s;
+    settings.stable_window = 5s;
+    settings.config_apply_bound = 4s;
     for (const auto bound : {4s, 5s, 8s}) {
-        settings.revocation = bound;
+        settings.revocation_bound = bound;
         const auto wait = watch_wait(object_kind::configuration, settings);
         // The watch in progress when a host polls, that host's poll and its next one.
-        CHECK(wait + feed_poll_wait + feed_poll_wait <= *settings.revocation - 1s);
+        CHECK(wait + feed_poll_wait + feed_poll_wait <= *settings.revocation_bound - 1s);
     }
     CHECK(watch_wait(object_kind::targets, settings) >= 5s);
 }
--- a/tests/front/window_counts_tests.cpp
+++ b/tests/front/window_counts_tests.cpp
@@ -14,9 +14,9 @@
 
 window_counts sample() {
     window_counts out;
-    add_one(out, "host-a/1", "east", start_ms);
-    add_one(out, "host-a/1", "east", start_ms + 100);
-    add_one(out, "host-a/1", "west", start_ms + 5000);
+    increment(out, "host-a/1", "east", start_ms);
+    increment(out, "host-a/1", "east", start_ms + 100);
+    increment(out, "host-a/1", "west", start_ms + 5000);
     return out;
 }
 
@@ -24,17 +24,17 @@
 
 TEST_CASE("a window's number is the Unix time divided by the length", "[front][window_counts]") {
     const window_counts counts;
-    CHECK(window_at(counts, 353445120LL * 5000) == 353445120);
-    CHECK(window_at(counts, 353445120LL * 5000 + 4999) == 353445120);
-    CHECK(begin_of(counts, 353445121) == 353445121LL * 5000);
+    CHECK(window_of(counts, 353445120LL * 5000) == 353445120);
+    CHECK(window_of(counts, 353445120LL * 5000 + 4999) == 353445120);
+    CHECK(window_start(counts, 353445121) == 353445121LL * 5000);
 }
 
 TEST_CASE("counts of several processes are summed by window", "[front][window_counts]") {
     auto counts = sample();
     window_counts other;
-    add_one(other, "host-b/9", "east", start_ms + 200);
+    increment(other, "host-b/9", "east", start_ms + 200);
     merge(counts, other);
-    const auto first = window_at(counts, start_ms);
+    const auto first = window_of(counts, start_ms);
     CHECK(totals(counts, first) == named_counts{{"east", 3}});
     CHECK(totals(counts, first + 1) == named_counts{{"west", 1}});
     CHECK(totals(counts, first + 2).empty());
@@ -49,7 +49,7 @@
         std::vector<window_counts> sent;
         window_counts own;
         for (int request = 0; request < requests; ++request) {
-            add_one(own, "host-a/1", "east", start_ms);
+            increment(own, "host-a/1", "east", start_ms);
             sent.push_back(own);
         }
         const auto order = *rc::gen::container<std::vector<std::size_t>>(
@@ -59,7 +59,7 @@
         for (const auto each : order) {
             merge(counts, sent[each]);
         }
-        const auto sum = totals(counts, window_at(counts, start_ms));
+        const auto sum = totals(counts, window_of(counts, start_ms));
         RC_ASSERT(sum.at("east") == static_cast<std::uint64_t>(requests));
     });
 }
@@ -69,9 +69,9 @@
     // zero.
     auto counts = sample();
     window_counts restarted;
-    add_one(restarted, "host-a/2", "east", start_ms + 300);
+    increment(restarted, "host-a/2", "east", start_ms + 300);
     merge(counts, restarted);
-    CHECK(totals(counts, window_at(counts, start_ms)).at("east") == 3);
+    CHECK(totals(counts, window_of(counts, start_ms)).at("east") == 3);
 }
 
 TEST_CASE("a window holds the peak, not the sum, of the recorded numbers",
@@ -80,12 +80,12 @@
     record_peak(counts, "host-a/1", "engines", start_ms, 40);
     record_peak(counts, "host-a/1", "engines", start_ms + 250, 168);
     record_peak(counts, "host-a/1", "engines", start_ms + 500, 12);
-    CHECK(totals(counts, window_at(counts, start_ms)).at("engines") == 168);
+    CHECK(totals(counts, window_of(counts, start_ms)).at("engines") == 168);
 }
 
 TEST_CASE("counts are decoded as they were encoded", "[front][window_counts]") {
     const auto counts = sample();
-    const auto first = window_at(counts, start_ms);
+    const auto first = window_of(counts, start_ms);
     const auto whole = decode_windows(encode_windows(counts, first, first + 1));
     REQUIRE(whole);
     CHECK(whole.value().windows == counts.windows);
@@ -103,6 +103,6 @@
 
 TEST_CASE("old windows are dropped", "[front][window_counts]") {
     auto counts = sample();
-    drop_before(counts, window_at(counts, start_ms) + 1);
+    drop_before(counts, window_of(counts, start_ms) + 1);
     CHECK(counts.windows.size() == 1);
 }
--- a/tests/platform/adapter_tests.cpp
+++ b/tests/platform/adapter_tests.cpp
@@ -85,16 +85,16 @@
     REQUIRE(read);
     CHECK(read.value().host == "front-east-1");
     CHECK(read.value().serves_callers);
-    CHECK(read.value().grace == milliseconds(8000));
-    CHECK(to_string(read.value().peers) == "10.1.0.38:8144");
-    CHECK(read.value().processor == 0.25);
-    CHECK(read.value().revocation == milliseconds(4500));
+    CHECK(read.value().grace_period == milliseconds(8000));
+    CHECK(to_string(read.value().peer_endpoint) == "10.1.0.38:8144");
+    CHECK(read.value().cpu_share == 0.25);
+    CHECK(read.value().revocation_bound == milliseconds(4500));
     REQUIRE(read.value().duties);
-    CHECK(to_string(read.value().duties->where) == "10.200.0.114:8662");
+    CHECK(to_string(read.value().duties->address) == "10.200.0.114:8662");
     CHECK(read.value().duties->reports_usage);
     CHECK_FALSE(read.value().duties->orders_targets);
     CHECK(read.value().duties->usage_window == milliseconds(5000));
-    CHECK(read.value().duties->usage_due == milliseconds(10000));
+    CHECK(read.value().duties->usage_report_timeout == milliseconds(10000));
 }
 
 TEST_CASE("faults of a settings file are reported together with their places",
@@ -115,7 +115,7 @@
         read_settings("node = \"n\"\nzone = \"z\"\n[platform]\naddress = \"1.2.3.4:5\"\n"
                       "[bounds]\nrevoke-ms = 4500\n");
     REQUIRE(read);
-    CHECK_FALSE(read.value().revocation);
+    CHECK_FALSE(read.value().revocation_bound);
     CHECK_FALSE(read.value().duties);
 }
 
@@ -136,12 +136,12 @@
     const auto& account = read.value().accounts->at(0);
     CHECK(account.name == "east");
     CHECK(account.key_hashes == std::vector{transport::token_hash("secret-1")});
-    CHECK_FALSE(read.value().routes.at(0).open_to_all);
-    CHECK(read.value().routes.at(1).open_to_all);
+    CHECK_FALSE(read.value().routes.at(0).allow_anonymous);
+    CHECK(read.value().routes.at(1).allow_anonymous);
     const auto& scaling = read.value().services.at("s").scaling;
     REQUIRE(scaling);
-    CHECK(scaling->most == 16);
-    CHECK(scaling->start == milliseconds(4500));
+    CHECK(scaling->max_targets == 16);
+    CHECK(scaling->startup_time == milliseconds(4500));
     CHECK(scaling->zone_prices.at("b") == 0.8);
     SECTION("without accounts") {
         text.erase("tenants");
@@ -165,10 +165,10 @@
     REQUIRE(read);
     const auto& item = read.value().items.at(0);
     CHECK(read.value().oldest_version == 6);
-    CHECK(read.value().groups_wanted == 1);
+    CHECK(read.value().required_groups == 1);
     CHECK(item.model == "m");
-    CHECK(item.tokens_out_most == 400);
-    CHECK(item.tokens_out_hint == 77);
+    CHECK(item.max_output_tokens == 400);
+    CHECK(item.expected_output_tokens == 77);
     CHECK(item.body == "\xAB\xCD\xEF\x12\x34\x56\x78\x90");
     CHECK(item.scoring->path == "/q/5");
 }
@@ -325,7 +325,7 @@
     const auto account_in = [](const transport::http_request& sent) {
         return transport::find_header(sent.headers, "X-Tenant");
     };
-    front::forward_terms terms{"i-1", milliseconds(1200), 0};
+    front::forward_options terms{"i-1", milliseconds(1200), 0};
     SECTION("under an account") {
         terms.account = "east";
         for (const auto& sent : {encode_forward(message, terms), encode_item(item, "h", terms)}) {
@@ -386,7 +386,7 @@
     CHECK(decode_batch_call(message)->position == 12);
     CHECK(decode_batch_call(message)->wait == milliseconds(1000));
     message.method = "DELETE";
-    CHECK(decode_batch_call(message)->what == verb::end);
+    CHECK(decode_batch_call(message)->operation == verb::end);
     message.method = "GET";
     message.path = "/items/b1";
     message.query = "id=i7";
