--- a/src/decide/internal/stragglers.cpp
+++ b/src/decide/internal/stragglers.cpp
@@ -14,7 +14,8 @@
 // With fewer tokens, the measured speed of a stream is too noisy to use.
 constexpr std::uint32_t min_speed_tokens = 16;
 
-// Smoothing factor for an overdue attempt without an answer, observed as slowness of its target.
+// Smoothing factor with which an overdue attempt without an answer raises the slowness of its
+// target.
 constexpr double late_gain = 0.1;
 
 double seconds(kernel::duration length) {
--- a/src/decide/limit.hpp
+++ b/src/decide/limit.hpp
@@ -12,8 +12,8 @@
 /// batch, so a limit shrinks only while the target is slower than its peers, and grows back
 /// afterwards.
 struct adaptive_limit {
-    double value = 1;
-    double cap = 1;
+    double value = 1; ///< The current limit, in concurrent requests.
+    double cap = 1;   ///< Upper bound of `value`; follows from the capacity.
     double ratio = 1; ///< Smoothed response time relative to the usual time at a full batch.
     kernel::time_point last_decrease{};
 };
--- a/src/decide/scheduler.hpp
+++ b/src/decide/scheduler.hpp
@@ -53,8 +53,8 @@
 void on_first_byte(scheduler& all, const kernel::request_id& request, std::uint32_t attempt,
                    kernel::time_point now);
 
-/// This attempt has received `tokens` so far, without resumed ones; `oldest_version` is the oldest
-/// weight version among them.
+/// This attempt has received `tokens` so far, not counting those resumed from an earlier attempt;
+/// `oldest_version` is the oldest weight version among them.
 void on_progress(scheduler& all, const kernel::request_id& request, std::uint32_t attempt,
                  std::uint32_t tokens, std::uint64_t oldest_version, kernel::time_point now);
 
@@ -72,7 +72,11 @@
 [[nodiscard]] actions on_cancelled(scheduler& all, const kernel::request_id& request,
                                    kernel::time_point now);
 
+/// Updates what is known of a target from its own report; a report older than the latest is
+/// ignored.
 void on_load_report(scheduler& all, const load_report& report, kernel::time_point now);
+
+/// Updates the record of which targets have a prefix in their cache.
 void on_cache_event(scheduler& all, const cache_event& event, kernel::time_point now);
 
 /// A target is leaving: it gets no new work from this call on.
@@ -85,7 +89,7 @@
 void on_new_version(scheduler& all, std::string_view pool, std::uint64_t version,
                     kernel::time_point now);
 
-/// Another host has quarantined a digest.
+/// Another host has quarantined a digest: the content hash of a request that crashes targets.
 void on_quarantine(scheduler& all, const quarantine_notice& notice, kernel::time_point now);
 
 /// When `tick` should be called next, for a daemon that sleeps in between.
@@ -94,11 +98,12 @@
 /// Counters for metrics and for `status`.
 struct scheduler_counts {
     std::array<std::size_t, priority_class_count> queued{};
-    /// Waiting for a retry, a weight version, or a target without another crash suspect.
+    /// Waiting for a retry, a weight version, a target without another crash suspect, or the
+    /// confirmation of a quarantine.
     std::size_t delayed = 0;
-    std::size_t in_flight = 0; ///< Attempts, hedges included.
-    std::size_t requests = 0;  ///< Admitted and not yet ended.
-    std::size_t quarantined = 0;
+    std::size_t in_flight = 0;   ///< Attempts, hedges included.
+    std::size_t requests = 0;    ///< Admitted and not yet ended.
+    std::size_t quarantined = 0; ///< Digests, not requests.
     std::size_t targets_leaving = 0;
 };
 
@@ -110,8 +115,8 @@
     std::uint32_t in_flight = 0;
     double limit = 0;     ///< Adaptive limit over all hosts.
     double allowance = 0; ///< This host's share of the limit.
-    double share = 1;     ///< Below 1 during slow start.
-    double slowness = 1;  ///< Above 1: slower than configured.
+    double share = 1; ///< Share of the allowance that the target gets: below 1 during slow start.
+    double slowness = 1; ///< Above 1: slower than configured.
     bool ejected = false;
     bool leaving = false;
     std::uint64_t version = 0;
--- a/src/decide/subset.cpp
+++ b/src/decide/subset.cpp
@@ -62,7 +62,8 @@
     return all;
 }
 
-// Exact count for the own zone, from the subsets of all its hosts.
+// Counts the hosts of the own zone that have each target in their subset. Exact, because the
+// subsets of all these hosts are computed.
 void count_zone_observers(std::span<const target> targets, std::span<const host> hosts,
                           const host& self, std::span<const std::uint32_t> tier, std::size_t size,
                           std::vector<subset_member>& members) {
@@ -87,8 +88,8 @@
     }
 }
 
-// Estimate for another zone: the hosts of that zone, by the share of it that each uses, plus this
-// host.
+// Estimates how many hosts use a target in another zone: the hosts of that zone, times the share of
+// its targets that each uses, plus this host.
 double other_zone_observers(std::span<const target> targets, std::span<const host> hosts,
                             const target& seen, std::string_view destination, std::size_t size) {
     const auto zone_hosts = std::ranges::count(hosts, seen.zone, &host::zone);
--- a/src/front/adapter.hpp
+++ b/src/front/adapter.hpp
@@ -42,7 +42,7 @@
 /// The properties of a caller's request that routing and forwarding need.
 struct caller_request {
     std::string id;
-    std::string host;
+    std::string host; ///< The `Host` header without its port.
     std::optional<milliseconds> time_left;
     std::int64_t last_event = 0;           ///< Last event that the caller received; 0: none.
     std::optional<std::string> key_hash{}; ///< Hash of its key; the key itself is not kept.
@@ -74,19 +74,23 @@
     enum class mode { wait, truncate, keep };
     std::string model;
     int version = 0;
-    mode running_requests = mode::keep; ///< What happens to running requests.
-    std::string holder;
-    std::uint64_t fence = 0;
-    std::int64_t expected_orders = 0; ///< Orders that the target must have accepted so far.
+    /// What happens to running requests. `wait` is ordered for models whose samples must come from
+    /// a single version, `keep` for all others.
+    mode running_requests = mode::keep;
+    std::string holder;      ///< Host that gives the order; holds the order lease.
+    std::uint64_t fence = 0; ///< Fencing token of that lease.
+    /// Orders that the target must have accepted so far. So of two orders with the same number it
+    /// accepts only one.
+    std::int64_t expected_orders = 0;
 };
 
 enum class order_outcome {
     accepted,
     already_loaded,
     busy_or_changed,
-    fenced,
+    fenced, ///< Refused because of the fencing token.
     invalid,
-    other_target
+    other_target ///< Refused: another target is at that address.
 };
 
 /// The state that a target reports about itself.
@@ -100,8 +104,8 @@
 
 /// Identifies the host that makes a call to the platform on behalf of all.
 struct duty_sender {
-    std::string holder;
-    std::uint64_t fence = 0;
+    std::string holder;      ///< The host; holds the order lease.
+    std::uint64_t fence = 0; ///< Fencing token of that lease.
 };
 
 /// Requests a number of targets of a service in a zone from the platform.
--- a/src/front/batch_log.cpp
+++ b/src/front/batch_log.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// Maximum delay before an entry is written again. Results wait for the entry, but no caller waits
-/// for the call itself.
+/// Maximum delay before a failed write of an entry is repeated. Results wait for their entry, but
+/// no caller waits for the call itself.
 constexpr loop::milliseconds max_entry_delay{600};
 /// Maximum difference between the clocks of two hosts. It is subtracted from the age of a batch, so
 /// that a loaded batch's items are given up too late rather than too early.
@@ -102,7 +102,7 @@
     return [self, id](std::uint64_t number) { return read_entry(self, numbered_name(id, number)); };
 }
 
-/// Applies an entry, by which another host may become the owner or the caller ends the batch.
+/// Applies an entry. It may make another host the owner, or record that the caller ends the batch.
 void apply_log_entry(live_batch& batch, std::uint64_t number, const log_entry& entry) {
     if (!apply_entry(batch.state, number, entry)) {
         return;
--- a/src/front/feed.hpp
+++ b/src/front/feed.hpp
@@ -13,12 +13,12 @@
 
 /// Distributes updates from the platform's store to the hosts of a zone.
 ///
-/// With sixty or more hosts, a store watch per host would be the largest cost of a day, because the
+/// With sixty or more hosts, a store watch per host would be the largest daily cost, because the
 /// store charges for every call, long polls included. So one host of each zone, the feeder, watches
-/// the store, and the others poll it over connections inside the zone. The host with the most CPU
-/// time is the feeder. It is no single point of failure: when it does not respond, or has lost its
-/// connection to the store, the next host in the order starts to watch on the first request, and
-/// the others switch to it.
+/// the store, and the others poll it over connections inside the zone. The feeder is the host
+/// with the largest CPU share; among equals, the first by name. It is no single point of failure:
+/// when it does not respond, or has lost its connection to the store, the next host in this order
+/// starts to watch on the first request, and the others switch to it.
 
 /// A feeder that has had no response from the store for longer than this serves no updates. Twice
 /// the usual time between two of its calls, and well below the shortest freshness bound, 2.5 s.
@@ -28,8 +28,8 @@
 /// more targets to dozens of hosts, and hosts that time out midway would all request it again.
 inline constexpr milliseconds feed_list_timeout{4000};
 
-/// How long a feeder holds a poll that has no updates yet. A suspended feeder is detected after
-/// this time and the timeout margin of the poll.
+/// How long a feeder holds a poll that has no updates yet. A suspended feeder is detected when a
+/// poll times out, which is after this time and a margin.
 inline constexpr milliseconds feed_poll_wait{900};
 
 /// The feeder to poll now; `nullopt` if this host has to watch the store itself.
--- a/src/front/load_plan.hpp
+++ b/src/front/load_plan.hpp
@@ -51,10 +51,10 @@
 /// load takes 0.9 s and more than a few concurrent loads slow each other down. Loading every
 /// version on every target would take several times the available time. A version serves two steps,
 /// the one it was published for and the next one. Each model therefore gets a share of the targets,
-/// which load every other version in turn: half of the share is up to date when a step begins, and
-/// no step waits for a load. The share never exceeds what the model's items need, however many
-/// targets there are. Heartbeats report a finished load half a second late, so a load that should
-/// have finished no longer counts towards the limit.
+/// whose two halves take turns: each loads every other version. So half of the share has the newest
+/// version when a step begins, and no step waits for a load. The share never exceeds what the
+/// model's items need, however many targets there are. Heartbeats report a finished load half a
+/// second late, so a load that should have finished no longer counts towards the limit.
 [[nodiscard]] std::vector<planned_load> plan_loads(std::span<const model_demand> demands,
                                                    std::span<const load_candidate> targets,
                                                    std::size_t max_concurrent_loads,
--- a/src/front/target_supplier.cpp
+++ b/src/front/target_supplier.cpp
@@ -87,7 +87,8 @@
     return out;
 }
 
-/// Plans the targets of each service and orders those that are missing.
+/// Plans the targets of each service. Orders them for a zone that needs more than it has or has on
+/// order, and where the plan differs from the last order.
 loop::task<void> plan_and_order(supply_state& state) {
     auto self = state.self;
     if (state.fence != self->lead.view.fence) {
--- a/src/front/usage_reporter.cpp
+++ b/src/front/usage_reporter.cpp
@@ -22,7 +22,7 @@
 struct stored_report {
     usage_report report{};
     std::uint64_t revision = 0; ///< 0: the store has no report.
-    bool delivered = false;     ///< Whether this process knows that the platform needs no retry.
+    bool delivered = false;     ///< Known here to be accepted or refused for good.
 };
 
 /// State of the usage reports.
--- a/tests/front/feeder_choice_tests.cpp
+++ b/tests/front/feeder_choice_tests.cpp
@@ -97,7 +97,7 @@
 }
 
 TEST_CASE("a store that rejects all hosts is not called by all of them", "[front][feed][storm]") {
-    // Failure: a storm of calls, because each host gave up one feeder after the other and then
+    // Guards against a storm of calls: each host gave up one feeder after the other and then
     // watched the store itself.
     auto simulated = make_zone();
     for (auto& member : simulated.hosts) {
--- a/tests/front/text_length_tests.cpp
+++ b/tests/front/text_length_tests.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Learns from texts whose hints are right at the median.
+/// Learns from texts of which half are longer than their hint. `deviation`: the standard deviation
+/// of the logarithm of length over hint.
 length_model learn(double tokens_per_event, double deviation, int texts = 400) {
     std::mt19937_64 random(7);
     std::lognormal_distribution<double> tokens_of_texts(std::log(3000), 0.9);
@@ -36,7 +37,7 @@
     const text_progress text{4000, 0, 0};
     const double usual = 4000 / tokens;
     CHECK(events_left(lengths, text, 0.5) == Approx(usual).epsilon(0.2));
-    // One text in ten exceeds the median by more than 1.28 standard deviations.
+    // One text in ten exceeds the median by more than 1.28 standard deviations (of logarithms).
     CHECK(events_left(lengths, text, 0.1) ==
           Approx(usual * std::exp(1.28 * deviation)).epsilon(0.25));
 }
