--- a/bench/internal/policy_settings.hpp
+++ b/bench/internal/policy_settings.hpp
@@ -38,7 +38,7 @@
     double mean_tokens = 300;  ///< Log-normal true length; callers know the mean only.
     double token_spread = 0.7; ///< Sigma of its logarithm.
     double train_seconds = 30;
-    double straggler_share = 0; ///< Of sendings that run at a sixth of the speed.
+    double straggler_share = 0; ///< Of attempts that run at a sixth of the speed.
     std::uint64_t staleness_bound = 8;
     double burst_factor = 1;       ///< Times the lookups in every fourth ten seconds.
     double deadline_seconds = 120; ///< Of a sample.
--- a/bench/internal/policy_simulation.hpp
+++ b/bench/internal/policy_simulation.hpp
@@ -41,7 +41,7 @@
     double length = 0; ///< True tokens, or seconds of a call.
     time_point submitted{};
     std::size_t arrivals = 0;
-    std::uint64_t oldest_kept = 0; ///< Among the tokens of failed sendings; 0: none.
+    std::uint64_t oldest_kept = 0; ///< Among the tokens of failed attempts; 0: none.
 };
 
 struct whole_sample {
--- a/bench/internal/policy_target.hpp
+++ b/bench/internal/policy_target.hpp
@@ -19,7 +19,7 @@
     double read_left = 0; ///< Work before the first token, in token units; seconds for services.
     double generate_left = 0; ///< Tokens.
     double generated = 0;
-    double speed = 1; ///< Under 1: this sending straggles.
+    double speed = 1; ///< Under 1: this attempt straggles.
     std::uint64_t prefix = 0;
     std::uint64_t oldest_version = 0;
     std::uint64_t inherited = 0; ///< Oldest version of the tokens sent along; 0: none.
--- a/bench/internal/policy_traffic.cpp
+++ b/bench/internal/policy_traffic.cpp
@@ -42,7 +42,7 @@
     after(latency(host, target), [=, this] { arrive(host, sent); });
 }
 
-// Tokens sent along keep the versions that made them: those of failed sendings, and of the one
+// Tokens sent along keep the versions that made them: those of failed attempts, and of the one
 // that a hedge copies.
 std::uint64_t world::inherited_version(const fake_request& request,
                                        const decide::dispatch& sent) const {
--- a/bench/internal/policy_world.hpp
+++ b/bench/internal/policy_world.hpp
@@ -18,7 +18,7 @@
     std::map<std::string, std::size_t> submitted; ///< By class.
     std::map<std::string, std::size_t> answered;
     std::map<std::string, std::size_t> refused; ///< By reason.
-    std::map<std::string, std::size_t> retried; ///< Sendings after the first, by cause.
+    std::map<std::string, std::size_t> retried; ///< Attempts after the first, by cause.
     double generated_tokens = 0;
     double used_tokens = 0;
     double read_tokens = 0;
--- a/src/daemon/scheduler_feed.cpp
+++ b/src/daemon/scheduler_feed.cpp
@@ -71,7 +71,7 @@
     bound_queues(feed.rules, options.max_queue);
     if (options.variant == feed_variant::plain) {
         feed.rules.hedge.enabled = false;
-        feed.rules.placement.prefix_hit = 0;
+        feed.rules.placement.hint_confidence = 0;
     }
     for (const auto& target : declared.targets) {
         feed.targets.push_back(to_target(declared, target));
--- a/src/decide/admission.cpp
+++ b/src/decide/admission.cpp
@@ -30,10 +30,10 @@
         return std::nullopt;
     }
     const double burst = burst_of(rules);
-    const double elapsed = std::chrono::duration<double>(now - bucket.refilled).count();
+    const double elapsed = std::chrono::duration<double>(now - bucket.refilled_at).count();
     bucket.tokens =
         bucket.started ? std::min(burst, bucket.tokens + elapsed * rules.tokens_per_second) : burst;
-    bucket.refilled = now;
+    bucket.refilled_at = now;
     bucket.started = true;
     // A request larger than the whole burst passes on a full bucket; otherwise it never could.
     const double needed = std::min(cost, burst);
--- a/src/decide/admission.hpp
+++ b/src/decide/admission.hpp
@@ -9,7 +9,7 @@
 /// Token bucket of one caller, in cost tokens.
 struct caller_bucket {
     double tokens = 0;
-    kernel::time_point refilled{};
+    kernel::time_point refilled_at{};
     bool started = false;
 };
 
--- a/src/decide/health.cpp
+++ b/src/decide/health.cpp
@@ -29,7 +29,7 @@
     return rules.slow_start_share + (1 - rules.slow_start_share) * progress;
 }
 
-void on_good_answer(target_health& health, const health_policy& rules, kernel::time_point now) {
+void on_success(target_health& health, const health_policy& rules, kernel::time_point now) {
     health.consecutive_failures = 0;
     if (health.in_slow_start && now >= health.slow_start_begin + rules.slow_start) {
         health.in_slow_start = false;
@@ -37,12 +37,12 @@
     }
 }
 
-bool on_bad_answer(target_health& health, const health_policy& rules) {
+bool on_target_failure(target_health& health, const health_policy& rules) {
     ++health.consecutive_failures;
     return health.consecutive_failures >= rules.consecutive_failures;
 }
 
-void pause(target_health& health, kernel::time_point now) {
+void pause_target(target_health& health, kernel::time_point now) {
     constexpr std::uint32_t max_pause_steps = 4;
     health.paused_until = now + base_pause * std::min(health.consecutive_failures, max_pause_steps);
 }
@@ -61,7 +61,7 @@
 bool observe_failure(zone_observations& zone, const health_policy& rules, std::uint32_t target,
                      kernel::time_point now) {
     std::erase_if(zone.failures, [&](const auto& earlier) {
-        return earlier.target == target || earlier.failed_at + rules.observer_window < now;
+        return earlier.target == target || earlier.failed_at + rules.zone_failure_window < now;
     });
     zone.failures.push_back({target, now});
     const auto failed = static_cast<double>(zone.failures.size());
--- a/src/decide/health.hpp
+++ b/src/decide/health.hpp
@@ -27,16 +27,16 @@
 [[nodiscard]] double traffic_share(const target_health& health, const health_policy& rules,
                                    kernel::time_point now);
 
-void on_good_answer(target_health& health, const health_policy& rules, kernel::time_point now);
+void on_success(target_health& health, const health_policy& rules, kernel::time_point now);
 
 /// Returns true if the target should be ejected; the caller checks the cap on ejected targets.
-[[nodiscard]] bool on_bad_answer(target_health& health, const health_policy& rules);
+[[nodiscard]] bool on_target_failure(target_health& health, const health_policy& rules);
 
 /// Sends the target nothing for a few hundred milliseconds after a refused connection.
 ///
 /// A target that refuses connections always has free capacity and looks like the fastest of a busy
 /// pool, so queued work would waste its attempts on it. Unlike ejection, a pause has no cap.
-void pause(target_health& health, kernel::time_point now);
+void pause_target(target_health& health, kernel::time_point now);
 
 void eject(target_health& health, const health_policy& rules, kernel::time_point now);
 
@@ -44,8 +44,8 @@
 ///
 /// When this host's own link breaks, every target seems to crash at once. Ejecting the targets or
 /// suspecting the requests in flight would spread the problem of one host. If more than
-/// `zone_failure_share` of the zone's targets, and at least two, fail within `observer_window`, the
-/// host assumes that its own link is at fault: it ejects no targets and suspects no requests.
+/// `zone_failure_share` of the zone's targets, and at least two, fail within `zone_failure_window`,
+/// the host assumes that its own link is at fault: it ejects no targets and suspects no requests.
 struct zone_observations {
     struct target_failure {
         std::uint32_t target = 0;
--- a/src/decide/hedge.cpp
+++ b/src/decide/hedge.cpp
@@ -23,7 +23,7 @@
     return true;
 }
 
-bool copy_pays(const straggler_view& view, const hedge_policy& rules) {
+bool should_hedge(const straggler_view& view, const hedge_policy& rules) {
     if (std::chrono::duration<double>(rules.min_elapsed).count() > view.elapsed) {
         return false;
     }
--- a/src/decide/hedge.hpp
+++ b/src/decide/hedge.hpp
@@ -27,6 +27,6 @@
 /// everything, however, would double the tokens paid for. So a hedge must be faster by a factor of
 /// `min_speedup`, and is sent only for a group that waits for its last members or for an attempt
 /// far beyond its predicted time.
-[[nodiscard]] bool copy_pays(const straggler_view& view, const hedge_policy& rules);
+[[nodiscard]] bool should_hedge(const straggler_view& view, const hedge_policy& rules);
 
 } // namespace cornelloom::decide
--- a/src/decide/internal/configuration.cpp
+++ b/src/decide/internal/configuration.cpp
@@ -8,7 +8,7 @@
 
 std::uint32_t allocate_slot(scheduler_state& state) {
     const auto reusable = std::ranges::find_if(
-        state.targets, [](const auto& load) { return load.gone && load.in_flight == 0; });
+        state.targets, [](const auto& load) { return load.removed && load.in_flight == 0; });
     if (reusable != state.targets.end()) {
         state.target_index.erase(reusable->config.id);
         *reusable = {};
@@ -26,17 +26,17 @@
         load.limit = make_limit(config.capacity, rules.limit);
     }
     load.config = config;
-    load.how_far = distance_of(self, config);
+    load.proximity = distance_of(self, config);
     load.version = std::max(load.version, config.version);
     load.tokens_per_second =
         config.kind == target_kind::service ? 0 : std::max(config.tokens_per_second, 1.0);
-    if (load.was_gone) {
+    if (load.was_removed) {
         // The target was removed and is back: its earlier state no longer applies.
         load.leaving = false;
         load.loading = false;
         load.health = {};
     }
-    load.gone = false;
+    load.removed = false;
 }
 
 void add_target(scheduler_state& state, const target& config) {
@@ -75,7 +75,7 @@
         observations.targets = 0;
     }
     for (const auto& load : state.targets) {
-        if (!load.gone) {
+        if (!load.removed) {
             ++state.zones[load.config.zone].targets;
         }
     }
@@ -92,8 +92,8 @@
                  kernel::time_point /*now*/) {
     auto& state = *all.state;
     for (auto& load : state.targets) {
-        load.was_gone = load.gone;
-        load.gone = true;
+        load.was_removed = load.removed;
+        load.removed = true;
     }
     for (const auto& config : targets) {
         add_target(state, config);
@@ -118,7 +118,7 @@
     }
     const auto reported_at = now - report.age;
     // Reports can arrive out of order; older ones are ignored.
-    if (load->report.known && reported_at < load->report.at) {
+    if (load->report.known && reported_at < load->report.as_of) {
         return;
     }
     load->report = {static_cast<double>(report.running + report.queued),
@@ -170,7 +170,7 @@
                     kernel::time_point now) {
     const auto it = all.state->destinations.find(std::string(pool));
     if (it != all.state->destinations.end()) {
-        note_version(it->second->versions, version, now);
+        record_version(it->second->versions, version, now);
     }
 }
 
--- a/src/decide/internal/dispatching.cpp
+++ b/src/decide/internal/dispatching.cpp
@@ -104,7 +104,7 @@
     auto query = query_of(state, record, now);
     drop_stale_tokens(record, query.minimum_version);
     query.size = size_of(record.work, record.kept_tokens);
-    const auto& subset = record.where->subset;
+    const auto& subset = record.dest->subset;
     if (query.suspect || !query.avoid.empty()) {
         relax_constraints(state, query, subset, now);
     }
@@ -251,7 +251,7 @@
 
 placement_query query_of(const scheduler_state& state, const request_record& record,
                          kernel::time_point now) {
-    const auto& dest = *record.where;
+    const auto& dest = *record.dest;
     placement_query query;
     query.size = size_of(record.work, record.kept_tokens);
     query.priority = record.work.priority;
@@ -284,12 +284,12 @@
     dispatched.kind = kind;
     count_attempt(state, record, dispatched);
     record.active_attempts.push_back(dispatched);
-    remember_holder(*record.where, record.work.prefix_hash, target_choice.target, now);
+    remember_holder(*record.dest, record.work.prefix_hash, target_choice.target, now);
     if (kind == dispatch_kind::first) {
         earn(state.retries, state.rules.retry);
     }
     if (kind != dispatch_kind::hedge) {
-        earn(record.where->hedges, state.rules.hedge, dispatched.cost);
+        earn(record.dest->hedges, state.rules.hedge, dispatched.cost);
     }
     if (record.work.idempotent && state.rules.hedge.enabled) {
         const auto due = std::chrono::duration_cast<kernel::duration>(
@@ -322,12 +322,12 @@
         if (!takes_work(load, now)) {
             continue;
         }
-        const answer_size unit{0, load.tokens_per_second > 0 ? 1.0 : 0.0};
+        const response_size unit{0, load.tokens_per_second > 0 ? 1.0 : 0.0};
         const double each = predicted_seconds(load, unit, typical, state.rules.placement, now);
         dest.rate += load.tokens_per_second > 0
                          ? load.tokens_per_second / load.observers / current_slowness(load, now)
                          : allowance(load, state.rules, now) / std::max(each, 1e-6);
-        dest.rate_near = load.how_far == distance::remote ? dest.rate_near : dest.rate;
+        dest.rate_near = load.proximity == distance::remote ? dest.rate_near : dest.rate;
         seconds_sum += each;
         accepting_targets += 1;
     }
--- a/src/decide/internal/faults.cpp
+++ b/src/decide/internal/faults.cpp
@@ -46,7 +46,7 @@
 
 // Every attempt on a crashed target reports the crash; only the first report is evaluated.
 bool is_known_crash(const target_load& load, const attempt_state& failed) {
-    return load.has_crashed && failed.sent <= load.crashed;
+    return load.has_crashed && failed.sent <= load.last_crash;
 }
 
 void handle_crash(scheduler_state& state, const attempt_state& failed, kernel::time_point now,
@@ -55,12 +55,12 @@
     if (is_known_crash(load, failed)) {
         return;
     }
-    load.crashed = now;
+    load.last_crash = now;
     load.has_crashed = true;
     const auto in_flight = suspects_on(state, failed.target, now);
     const auto target_hash = kernel::hash64(load.config.id.str());
     const auto culprit =
-        judge_crash(state.crashes, state.rules.quarantine, target_hash, in_flight, now);
+        attribute_crash(state.crashes, state.rules.quarantine, target_hash, in_flight, now);
     if (culprit != 0) {
         await_confirmation(state, culprit, now);
         out.quarantines.push_back(
@@ -95,9 +95,9 @@
         return;
     }
     const bool crashed = kind == failure_kind::crashed;
-    const bool repeated = on_bad_answer(load.health, state.rules.health);
+    const bool repeated = on_target_failure(load.health, state.rules.health);
     if (kind == failure_kind::not_sent) {
-        pause(load.health, now);
+        pause_target(load.health, now);
     }
     if (!crashed && !repeated) {
         return;
@@ -106,11 +106,11 @@
     auto& zone = state.zones[load.config.zone];
     const bool self_suspected = observe_failure(zone, state.rules.health, failed.target, now);
     if (self_suspected) {
-        forgive(state.crashes, now - state.rules.health.observer_window);
+        drop_suspicions_since(state.crashes, now - state.rules.health.zone_failure_window);
     }
     // Targets outside this zone only take overflow: they are ejected when unreachable, even if the
     // fault may be on this host's side.
-    const bool in_zone = load.how_far == distance::zone;
+    const bool in_zone = load.proximity == distance::zone;
     if (self_suspected && in_zone) {
         return;
     }
@@ -124,7 +124,7 @@
 }
 
 void await_confirmation(scheduler_state& state, std::uint64_t digest, kernel::time_point now) {
-    state.pending_quarantines.push_back({digest, now + state.rules.quarantine.confirmation});
+    state.pending_quarantines.push_back({digest, now + state.rules.quarantine.confirmation_delay});
 }
 
 void refuse_confirmed(scheduler_state& state, kernel::time_point now, actions& out) {
--- a/src/decide/internal/lookahead.cpp
+++ b/src/decide/internal/lookahead.cpp
@@ -50,7 +50,7 @@
 // one target, since whichever target is free gets the first item. So among the next few items of
 // the caller whose turn it is, the free target gets one whose prefix it holds; otherwise one whose
 // prefix no target holds; and only then one whose prefix is already cached on another target.
-// Fairness between callers is unaffected, and `most_passed_over` prevents starvation of an item.
+// Fairness between callers is unaffected, and `max_skips` prevents starvation of an item.
 queue_head prefer_cached(scheduler_state& state, const destination& dest, const queue_head& item,
                          const placement& found, kernel::time_point now) {
     const auto& rules = state.rules.placement;
@@ -58,7 +58,7 @@
     const auto first_location =
         locate_prefix(state, dest, first.work.prefix_hash, found.target, now);
     if (first.work.prefix_hash == 0 || first_location == prefix_location::here ||
-        first.passed_over >= rules.most_passed_over) {
+        first.passed_over >= rules.max_skips) {
         return item;
     }
     std::array<queue_head, max_lookahead> upcoming_items;
--- a/src/decide/internal/maintenance.cpp
+++ b/src/decide/internal/maintenance.cpp
@@ -46,7 +46,7 @@
     expire(state.crashes, state.rules.quarantine, now);
     sweep_holders(state, now);
     std::erase_if(state.buckets, [&](const auto& entry) {
-        return entry.second.refilled + bucket_lifetime <= now;
+        return entry.second.refilled_at + bucket_lifetime <= now;
     });
 }
 
--- a/src/decide/internal/outcomes.cpp
+++ b/src/decide/internal/outcomes.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-constexpr double answer_gain = 0.2;
+constexpr double response_gain = 0.2;
 constexpr double progress_gain = 0.05;
 constexpr kernel::duration progress_interval = 1s;
 constexpr std::uint32_t min_speed_tokens = 16;
 
-// Smoothing factor of the typical answer time, and the largest ratio to it that one answer counts
-// with: a single slow target must not raise the typical time.
+// Smoothing factor of the typical response time, and the largest ratio to it that one response
+// counts with: a single slow target must not raise the typical time.
 constexpr double service_gain = 0.02;
 constexpr double max_service_ratio = 3;
 
@@ -30,16 +30,16 @@
 }
 
 void learn_service_time(request_record& record, double elapsed) {
-    auto& typical = record.where->service_seconds.at(index_of(record.work.priority));
+    auto& typical = record.dest->service_seconds.at(index_of(record.work.priority));
     const double max_counted = typical * max_service_ratio;
     typical += service_gain * (std::min(elapsed, max_counted) - typical);
 }
 
-// Ratio of the answer time to the nominal time in a full batch, relative to the destination's
+// Ratio of the response time to the nominal time in a full batch, relative to the destination's
 // typical ratio. Errors in the configured speeds affect all targets alike and cancel out.
-double relative_slowness(const target_load& load, request_record& record, const answer_size& size,
+double relative_slowness(const target_load& load, request_record& record, const response_size& size,
                          double elapsed) {
-    auto& dest = *record.where;
+    auto& dest = *record.dest;
     const double full = nominal_seconds(load, size, load.config.capacity, typical_seconds(record));
     const double ratio = elapsed / std::max(full, 1e-6);
     const double max_counted = dest.typical_ratio * max_service_ratio;
@@ -47,23 +47,23 @@
     return ratio / std::max(dest.typical_ratio, 0.1);
 }
 
-void observe_answer(scheduler_state& state, request_record& record, const attempt_state& ended,
-                    std::uint32_t tokens, kernel::time_point now) {
+void observe_response(scheduler_state& state, request_record& record, const attempt_state& ended,
+                      std::uint32_t tokens, kernel::time_point now) {
     auto& load = state.targets[ended.target];
     const double elapsed = seconds(now - ended.sent);
-    const answer_size done{ended.size.read, static_cast<double>(tokens)};
+    const response_size done{ended.size.prompt_tokens, static_cast<double>(tokens)};
     const double ratio = elapsed / nominal_so_far(state, record, ended, done, now);
-    observe_ratio(load, ratio, answer_gain, now);
-    on_answer(load.limit, state.rules.limit, relative_slowness(load, record, done, elapsed),
-              estimated_running(load, state.rules.placement, now), now);
-    on_good_answer(load.health, state.rules.health, now);
+    record_ratio(load, ratio, response_gain, now);
+    on_response(load.limit, state.rules.limit, relative_slowness(load, record, done, elapsed),
+                estimated_running(load, state.rules.placement, now), now);
+    on_success(load.health, state.rules.health, now);
     if (record.work.kind == target_kind::service) {
         learn_service_time(record, elapsed);
     }
 }
 
 std::uint64_t oldest_allowed_for(const scheduler_state& state, const request_record& record) {
-    const auto& dest = *record.where;
+    const auto& dest = *record.dest;
     if (dest.kind == target_kind::service) {
         return 0;
     }
@@ -213,9 +213,9 @@
     const bool due = now >= running->last_observed + progress_interval && elapsed > 0;
     if (due && running->tokens >= min_speed_tokens && record->work.kind == target_kind::engine) {
         running->last_observed = now;
-        const answer_size done{0, static_cast<double>(running->tokens)};
+        const response_size done{0, static_cast<double>(running->tokens)};
         const double ratio = elapsed / nominal_so_far(state, *record, *running, done, now);
-        observe_ratio(state.targets[running->target], ratio, progress_gain, now);
+        record_ratio(state.targets[running->target], ratio, progress_gain, now);
     }
 }
 
@@ -231,7 +231,7 @@
         return result;
     }
     const auto ended = *running;
-    observe_answer(state, *record, ended, answer.tokens, now);
+    observe_response(state, *record, ended, answer.tokens, now);
     if (!state.crashes.digests.empty()) {
         clear_suspicion(state.crashes, digest_of(record->work));
     }
--- a/src/decide/internal/records.cpp
+++ b/src/decide/internal/records.cpp
@@ -11,11 +11,11 @@
 // Cost of processing a prompt token, relative to generating one.
 constexpr double prompt_token_cost = 0.1;
 
-// Tokens still expected from an answer that exceeds its estimated length.
+// Tokens still expected from a response that exceeds its estimated length.
 constexpr double min_remaining_tokens = 16;
 
 void leave_group(request_record& record) {
-    auto& groups = record.where->groups;
+    auto& groups = record.dest->groups;
     const auto it = groups.find(record.work.group);
     if (record.work.group.empty() || it == groups.end()) {
         return;
@@ -28,7 +28,7 @@
 
 void remove_from_queues(scheduler_state& state, request_record& record) {
     if (record.phase == request_phase::queued) {
-        auto& queue = record.where->queues.at(index_of(record.work.priority));
+        auto& queue = record.dest->queues.at(index_of(record.work.priority));
         remove(queue, record.work.caller, key_of(record));
     }
     if (record.phase == request_phase::delayed) {
@@ -43,16 +43,16 @@
         return 1;
     }
     const auto size = size_of(work, kept_tokens);
-    return std::max(1.0, size.generate + prompt_token_cost * size.read);
+    return std::max(1.0, size.output_tokens + prompt_token_cost * size.prompt_tokens);
 }
 
-answer_size size_of(const request& work, std::uint32_t kept_tokens) {
+response_size size_of(const request& work, std::uint32_t kept_tokens) {
     if (work.kind == target_kind::service) {
         return {};
     }
     const double remaining = static_cast<double>(work.output_tokens) - kept_tokens;
-    return {.read = static_cast<double>(work.prompt_tokens) + kept_tokens,
-            .generate = std::max(remaining, min_remaining_tokens)};
+    return {.prompt_tokens = static_cast<double>(work.prompt_tokens) + kept_tokens,
+            .output_tokens = std::max(remaining, min_remaining_tokens)};
 }
 
 request_record* find(scheduler_state& state, const kernel::request_id& id) {
@@ -84,11 +84,11 @@
 }
 
 double typical_seconds(const request_record& record) {
-    return record.where->service_seconds.at(index_of(record.work.priority));
+    return record.dest->service_seconds.at(index_of(record.work.priority));
 }
 
 double nominal_so_far(const scheduler_state& state, const request_record& record,
-                      const attempt_state& running, const answer_size& size,
+                      const attempt_state& running, const response_size& size,
                       kernel::time_point now) {
     const auto& load = state.targets[running.target];
     const double current_load = estimated_running(load, state.rules.placement, now);
@@ -98,8 +98,8 @@
 
 void enqueue(scheduler_state& state, request_record& record) {
     record.phase = request_phase::queued;
-    auto& queue = record.where->queues.at(index_of(record.work.priority));
-    push(queue, record.work.caller, policy_of(state.rules, record.work.caller.str()).weight,
+    auto& queue = record.dest->queues.at(index_of(record.work.priority));
+    push(queue, record.work.caller, caller_policy_of(state.rules, record.work.caller.str()).weight,
          key_of(record), cost_of(record.work, record.kept_tokens));
 }
 
--- a/src/decide/internal/stragglers.cpp
+++ b/src/decide/internal/stragglers.cpp
@@ -14,7 +14,7 @@
 // With fewer tokens, the measured speed of a stream is too noisy to use.
 constexpr std::uint32_t min_speed_tokens = 16;
 
-// Smoothing factor for an overdue attempt without an answer, observed as slowness of its target.
+// Smoothing factor for an overdue attempt without a response, observed as slowness of its target.
 constexpr double late_gain = 0.1;
 
 double seconds(kernel::duration length) {
@@ -26,8 +26,8 @@
 }
 
 double group_done(const request_record& record) {
-    const auto it = record.where->groups.find(record.work.group);
-    if (record.work.group.empty() || it == record.where->groups.end()) {
+    const auto it = record.dest->groups.find(record.work.group);
+    if (record.work.group.empty() || it == record.dest->groups.end()) {
         return 0;
     }
     const auto& group = it->second;
@@ -44,7 +44,7 @@
         return std::max(running.predicted - elapsed, elapsed);
     }
     const double speed = running.tokens / std::max(elapsed, 1e-3);
-    return std::max(running.size.generate - running.tokens, 1.0) / speed;
+    return std::max(running.size.output_tokens - running.tokens, 1.0) / speed;
 }
 
 // The hedged attempt continues from the tokens that the first attempt has produced so far.
@@ -60,7 +60,7 @@
     avoid.push_back(running.target);
     query.avoid = avoid;
     query.size = size_of(record.work, running.resumed_tokens + running.tokens);
-    return choose(state.targets, record.where->subset, query, state.rules, now, state.random);
+    return choose(state.targets, record.dest->subset, query, state.rules, now, state.random);
 }
 
 straggler_view make_straggler_view(const request_record& record, const attempt_state& running,
@@ -88,17 +88,17 @@
     return seconds(now - running.sent) >= late_after;
 }
 
-bool should_hedge(const scheduler_state& state, const request_record& record,
-                  const attempt_state& running, const placement& alternative,
-                  kernel::time_point now) {
+bool attempt_needs_hedge(const scheduler_state& state, const request_record& record,
+                         const attempt_state& running, const placement& alternative,
+                         kernel::time_point now) {
     if (record.work.kind == target_kind::service) {
         return service_is_late(state, record, running, now);
     }
-    return copy_pays(make_straggler_view(record, running, alternative, now), state.rules.hedge);
+    return should_hedge(make_straggler_view(record, running, alternative, now), state.rules.hedge);
 }
 
-// Updates the target's slowness from an attempt that is overdue without an answer: its elapsed time
-// is a lower bound.
+// Updates the target's slowness from an attempt that is overdue without a response: its elapsed
+// time is a lower bound.
 void record_late_attempt(scheduler_state& state, const request_record& record,
                          const attempt_state& running, kernel::time_point now) {
     if (running.tokens >= min_speed_tokens) {
@@ -108,7 +108,7 @@
     const double ratio = seconds(now - running.sent) / nominal;
     auto& load = state.targets[running.target];
     if (ratio > current_slowness(load, now)) {
-        observe_ratio(load, ratio, late_gain, now);
+        record_ratio(load, ratio, late_gain, now);
     }
 }
 
@@ -117,11 +117,11 @@
     const auto running = record.active_attempts.front();
     const auto alternative = place_hedge(state, record, running, now);
     if (alternative.outcome != placement_outcome::placed ||
-        !should_hedge(state, record, running, alternative, now)) {
+        !attempt_needs_hedge(state, record, running, alternative, now)) {
         return false;
     }
     const double cost = cost_of(record.work, running.resumed_tokens + running.tokens);
-    if (!spend(record.where->hedges, cost)) {
+    if (!spend(record.dest->hedges, cost)) {
         return false;
     }
     keep_current_tokens(record, running);
@@ -162,12 +162,12 @@
 void cancel_slower_attempt(scheduler_state& state, request_record& record, kernel::time_point now,
                            actions& out) {
     const auto& first = record.active_attempts.front();
-    const auto& copy = record.active_attempts.back();
-    const bool comparable = now - copy.sent >= min_race_time && copy.tokens >= min_speed_tokens;
-    const attempt_state* slower = !comparable                  ? nullptr
-                                  : has_lead(copy, first, now) ? &first
-                                  : has_lead(first, copy, now) ? &copy
-                                                               : nullptr;
+    const auto& hedge = record.active_attempts.back();
+    const bool comparable = now - hedge.sent >= min_race_time && hedge.tokens >= min_speed_tokens;
+    const attempt_state* slower = !comparable                   ? nullptr
+                                  : has_lead(hedge, first, now) ? &first
+                                  : has_lead(first, hedge, now) ? &hedge
+                                                                : nullptr;
     if (slower == nullptr) {
         schedule_hedge_check(state, record, now + race_check_interval);
         return;
@@ -180,7 +180,7 @@
 
 } // namespace
 
-void hedge_due(scheduler_state& state, kernel::time_point now, actions& out) {
+void run_hedge_checks(scheduler_state& state, kernel::time_point now, actions& out) {
     while (!state.hedge_checks.empty() && state.hedge_checks.begin()->at <= now) {
         auto& record = *state.hedge_checks.begin()->record;
         state.hedge_checks.erase(state.hedge_checks.begin());
@@ -201,8 +201,8 @@
 
 void record_group_progress(scheduler_state& state, const request_record& record,
                            kernel::time_point now) {
-    const auto it = record.where->groups.find(record.work.group);
-    if (record.work.group.empty() || it == record.where->groups.end()) {
+    const auto it = record.dest->groups.find(record.work.group);
+    if (record.work.group.empty() || it == record.dest->groups.end()) {
         return;
     }
     auto& group = it->second;
--- a/src/decide/limit.cpp
+++ b/src/decide/limit.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Smoothing: a single response of up to six times the usual time does not count as overload.
+// Smoothing: a single response of up to six times the typical time does not count as overload.
 constexpr double ratio_gain = 0.2;
 
 } // namespace
@@ -22,8 +22,8 @@
     limit.cap = cap;
 }
 
-void on_answer(adaptive_limit& limit, const limit_policy& rules, double ratio, double in_use,
-               kernel::time_point now) {
+void on_response(adaptive_limit& limit, const limit_policy& rules, double ratio, double in_use,
+                 kernel::time_point now) {
     limit.ratio += ratio_gain * (ratio - limit.ratio);
     const bool overloaded = limit.ratio > rules.tolerance;
     if (overloaded) {
--- a/src/decide/limit.hpp
+++ b/src/decide/limit.hpp
@@ -14,7 +14,7 @@
 struct adaptive_limit {
     double value = 1;
     double cap = 1;
-    double ratio = 1; ///< Smoothed response time relative to the usual time at a full batch.
+    double ratio = 1; ///< Smoothed response time relative to the typical time at a full batch.
     kernel::time_point last_decrease{};
 };
 
@@ -24,10 +24,10 @@
 /// Changes the capacity and keeps the learned ratio of limit to cap.
 void set_capacity(adaptive_limit& limit, double capacity, const limit_policy& rules);
 
-/// Records a response that took `ratio` times the usual time at a full batch while `in_use`
+/// Records a response that took `ratio` times the typical time at a full batch while `in_use`
 /// requests ran.
-void on_answer(adaptive_limit& limit, const limit_policy& rules, double ratio, double in_use,
-               kernel::time_point now);
+void on_response(adaptive_limit& limit, const limit_policy& rules, double ratio, double in_use,
+                 kernel::time_point now);
 
 /// Records that the target refused for overload, timed out or broke the connection.
 void on_overload(adaptive_limit& limit, const limit_policy& rules, kernel::time_point now);
--- a/src/decide/placement.cpp
+++ b/src/decide/placement.cpp
@@ -22,7 +22,7 @@
 // A target slower than predicted by this factor is compared with farther ones.
 constexpr double slow_target_ratio = 2;
 
-// Cost per version that the answer is predicted to exceed the staleness bound by: an answer that
+// Cost per version that the response is predicted to exceed the staleness bound by: a response that
 // is too stale has to be run again.
 constexpr double staleness_penalty_seconds = 1000;
 
@@ -93,7 +93,7 @@
     }
     const double service =
         predicted_seconds(load, query.size, query.service_seconds, rules.placement, now);
-    return waiting_pays(view_swap(load, query, service, now), *query.pool);
+    return should_wait_for_swap(view_swap(load, query, service, now), *query.pool);
 }
 
 fitness check_target(const target_load& load, std::uint32_t index, const placement_query& query,
@@ -245,7 +245,7 @@
                         const placement_query& query, const policy& rules, kernel::time_point now,
                         std::mt19937_64& random) {
     search_state state{.targets = targets, .query = query, .rules = rules, .now = now};
-    const auto wanted = rules.placement.choices;
+    const auto wanted = rules.placement.compared_candidates;
     if (wanted == 0 || tier.size() <= wanted) {
         std::ranges::for_each(tier, [&](auto index) { consider(state, index); });
     } else {
@@ -277,15 +277,15 @@
 
 } // namespace
 
-double crossing_seconds(const answer_size& size, const placement_policy& rules) {
-    const double tokens = size.read + size.generate;
+double crossing_seconds(const response_size& size, const placement_policy& rules) {
+    const double tokens = size.prompt_tokens + size.output_tokens;
     return rules.crossing_seconds_per_kilotoken * tokens / tokens_per_kilotoken;
 }
 
 bool takes_work(const target_load& load, kernel::time_point now) {
     const bool swapping = load.swap && load.swap->starts <= now && now < load.swap->ready &&
                           load.version < load.swap->version;
-    return !load.gone && !load.leaving && !load.loading && !swapping &&
+    return !load.removed && !load.leaving && !load.loading && !swapping &&
            !is_ejected(load.health, now) && load.health.paused_until <= now;
 }
 
@@ -295,17 +295,17 @@
     const auto holder = std::ranges::find(query.holders, index, &prefix_holder::target);
     auto size = query.size;
     if (holder != query.holders.end() && now < holder->at + placing.hint_lifetime) {
-        size.read *= 1 - placing.prefix_hit;
+        size.prompt_tokens *= 1 - placing.hint_confidence;
     }
     double time = predicted_seconds(load, size, query.service_seconds, placing, now);
     const double load_ratio =
         estimated_running(load, placing, now) / std::max(load.limit.value, 1.0);
     time *= (1 + load_ratio) / traffic_share(load.health, rules.health, now);
     time += failure_penalty_seconds * load.health.consecutive_failures;
-    if (load.how_far != distance::zone) {
+    if (load.proximity != distance::zone) {
         time += seconds(placing.zone_penalty);
     }
-    if (load.how_far == distance::remote) {
+    if (load.proximity == distance::remote) {
         time += seconds(placing.region_penalty) + crossing_seconds(query.size, placing);
     }
     return versions_cost(load, query, time, now);
@@ -317,15 +317,15 @@
     placement result;
     bool nearer_accepts_work = false;
     for (auto rest = subset; !rest.empty();) {
-        const auto how_far = targets[rest.front()].how_far;
+        const auto proximity = targets[rest.front()].proximity;
         const auto end = std::ranges::find_if(
-            rest, [&](auto index) { return targets[index].how_far != how_far; });
+            rest, [&](auto index) { return targets[index].proximity != proximity; });
         const auto tier = rest.first(static_cast<std::size_t>(end - rest.begin()));
         rest = rest.subspan(tier.size());
         const bool placed = result.outcome == placement_outcome::placed;
         const bool worth_crossing =
             query.patience_seconds >= crossing_seconds(query.size, rules.placement);
-        if (how_far == distance::remote && nearer_accepts_work && !worth_crossing && !placed) {
+        if (proximity == distance::remote && nearer_accepts_work && !worth_crossing && !placed) {
             break;
         }
         const auto found = choose_within(targets, tier, query, rules, now, random);
--- a/src/decide/placement.hpp
+++ b/src/decide/placement.hpp
@@ -17,7 +17,7 @@
 /// The properties of a request that placement depends on. Contains views; valid only during the
 /// call.
 struct placement_query {
-    answer_size size;
+    response_size size;
     priority_class priority = priority_class::rollout;
     std::string_view model;
     std::uint64_t minimum_version = 0;
@@ -43,7 +43,7 @@
 struct placement {
     placement_outcome outcome = placement_outcome::no_target;
     std::uint32_t target = 0;
-    double seconds = 0; ///< Predicted duration of the complete answer.
+    double seconds = 0; ///< Predicted duration of the complete response.
     double cost = 0;    ///< Score of the chosen target.
     kernel::time_point wait_until{};
 };
@@ -53,7 +53,7 @@
 
 /// Seconds a request of this size should wait in the queue before it is sent across
 /// regions.
-[[nodiscard]] double crossing_seconds(const answer_size& size, const placement_policy& rules);
+[[nodiscard]] double crossing_seconds(const response_size& size, const placement_policy& rules);
 
 /// Estimated cost, in seconds, of running the request on this target; lower is better. Combines the
 /// predicted time, the saving from a cached prefix, distance, version lag and the cost of crossing
@@ -66,9 +66,9 @@
 ///
 /// Many hosts place requests concurrently, on load reports that lag by seconds. If each chose the
 /// target with the best score, all would overload the same one. So only a few random candidates are
-/// compared (`choices`), plus targets that hold the prefix while their load is within `load_bound`
-/// times the mean. Farther targets are used only when the nearer ones are full, and those in
-/// another region only when the request has waited for `crossing_seconds`.
+/// compared (`compared_candidates`), plus targets that hold the prefix while their load is within
+/// `load_bound` times the mean. Farther targets are used only when the nearer ones are full, and
+/// those in another region only when the request has waited for `crossing_seconds`.
 [[nodiscard]] placement choose(std::span<const target_load> targets,
                                std::span<const std::uint32_t> subset, const placement_query& query,
                                const policy& rules, kernel::time_point now,
--- a/src/decide/policy.cpp
+++ b/src/decide/policy.cpp
@@ -2,7 +2,7 @@
 
 namespace cornelloom::decide {
 
-const caller_policy& policy_of(const policy& rules, std::string_view caller) {
+const caller_policy& caller_policy_of(const policy& rules, std::string_view caller) {
     const auto it = rules.callers.find(caller);
     return it == rules.callers.end() ? rules.default_caller : it->second;
 }
--- a/src/decide/policy.hpp
+++ b/src/decide/policy.hpp
@@ -32,18 +32,20 @@
     std::size_t subset_region = 4; ///< Additional targets in other zones of its region.
     /// Additional targets in other regions, in case its own region fails.
     std::size_t subset_remote = 4;
-    std::size_t choices = 2; ///< Candidates compared per placement; 0: all. See docs/DECISIONS.md.
+    /// Candidates compared per placement; 0: all. See docs/DECISIONS.md.
+    std::size_t compared_candidates = 2;
     /// Interactive work may use this multiple of the host's share of a target's limit, up to the
     /// whole limit. Bursts rarely reach all hosts at once, so a lookup held back by the share would
     /// usually wait while the target has free capacity.
     double interactive_overcommit = 2;
     /// Prefix affinity applies while load is below this multiple of the mean.
     double load_bound = 1.25;
-    double prefix_hit = 0.9; ///< Probability that a fresh cache hint is right; events may be lost.
+    /// Probability that a fresh cache hint is right; events may be lost.
+    double hint_confidence = 0.9;
     /// How many of a caller's next items are searched for one whose prefix the free target has
     /// cached, and how often an item may be skipped in favour of such an item.
     std::size_t lookahead = 32;
-    std::uint32_t most_passed_over = 64;
+    std::uint32_t max_skips = 64;
     kernel::duration hint_lifetime = 120s;  ///< Older cache hints are ignored.
     kernel::duration report_lifetime = 5s;  ///< Half-life of a load report's weight.
     kernel::duration zone_penalty = 1ms;    ///< Added outside the zone: one round trip.
@@ -81,7 +83,7 @@
     /// Share of a group that must be done before a member counts as a straggler.
     double group_done = 0.6;
     kernel::duration min_elapsed = 200ms; ///< Younger attempts are never hedged.
-    /// A service request is hedged after this multiple of the usual latency.
+    /// A service request is hedged after this multiple of the typical latency.
     double service_factor = 3.0;
 };
 
@@ -91,7 +93,7 @@
     kernel::duration suspicion_lifetime = 120s;
     /// Delay before an identified digest is refused; covers gossip propagation. Another host may
     /// have identified a different digest for the same crash, and then neither is certain.
-    kernel::duration confirmation = 2s;
+    kernel::duration confirmation_delay = 2s;
     /// Afterwards it is admitted again: the engine may have been fixed.
     kernel::duration lifetime = 600s;
     std::size_t max_entries = 4096; ///< The oldest entries are evicted first.
@@ -106,7 +108,7 @@
     double slow_start_share = 0.1; ///< Share of the allowance when slow start begins.
     /// Failing share of a zone above which this host suspects its own link.
     double zone_failure_share = 0.5;
-    kernel::duration observer_window = 5s;
+    kernel::duration zone_failure_window = 5s;
 };
 
 /// How a pool trades trainer idle time against sample staleness.
@@ -139,7 +141,7 @@
     double deadline_certainty = 0.7;
 };
 
-[[nodiscard]] const caller_policy& policy_of(const policy& rules, std::string_view caller);
+[[nodiscard]] const caller_policy& caller_policy_of(const policy& rules, std::string_view caller);
 [[nodiscard]] const pool_policy& pool_policy_of(const policy& rules, std::string_view pool);
 
 } // namespace cornelloom::decide
--- a/src/decide/quarantine.cpp
+++ b/src/decide/quarantine.cpp
@@ -53,9 +53,9 @@
 
 } // namespace
 
-std::uint64_t judge_crash(crash_ledger& ledger, const quarantine_policy& rules,
-                          std::uint64_t target, const std::vector<crash_suspect>& in_flight,
-                          kernel::time_point now) {
+std::uint64_t attribute_crash(crash_ledger& ledger, const quarantine_policy& rules,
+                              std::uint64_t target, const std::vector<crash_suspect>& in_flight,
+                              kernel::time_point now) {
     const auto unproven = std::ranges::count_if(in_flight, &crash_suspect::unproven);
     const bool alone =
         in_flight.size() == 1 && is_suspect(ledger, rules, in_flight.front().digest, now);
@@ -104,7 +104,7 @@
                   kernel::time_point now) {
     const auto it = ledger.digests.find(digest);
     return it != ledger.digests.end() && it->second.quarantined_until > now &&
-           now >= it->second.identified_at + rules.confirmation;
+           now >= it->second.identified_at + rules.confirmation_delay;
 }
 
 void quarantine(crash_ledger& ledger, const quarantine_policy& rules,
@@ -113,7 +113,7 @@
         const auto& record = entry.second;
         return entry.first != notice.digest && record.identified_by != 0 &&
                record.identified_by == notice.crashed_target &&
-               now < record.identified_at + 2 * rules.confirmation;
+               now < record.identified_at + 2 * rules.confirmation_delay;
     });
     auto& record = record_of(ledger, rules, notice.digest);
     if (record.quarantined_until > now) {
@@ -133,7 +133,7 @@
     ledger.digests.erase(digest);
 }
 
-void forgive(crash_ledger& ledger, kernel::time_point from) {
+void drop_suspicions_since(crash_ledger& ledger, kernel::time_point from) {
     std::erase_if(ledger.digests, [&](const auto& entry) {
         return entry.second.last_crash >= from && entry.second.quarantined_until < from;
     });
--- a/src/decide/quarantine.hpp
+++ b/src/decide/quarantine.hpp
@@ -36,10 +36,10 @@
 };
 
 /// Attributes one crash; returns the digest that is now quarantined, or 0.
-[[nodiscard]] std::uint64_t judge_crash(crash_ledger& ledger, const quarantine_policy& rules,
-                                        std::uint64_t target,
-                                        const std::vector<crash_suspect>& in_flight,
-                                        kernel::time_point now);
+[[nodiscard]] std::uint64_t attribute_crash(crash_ledger& ledger, const quarantine_policy& rules,
+                                            std::uint64_t target,
+                                            const std::vector<crash_suspect>& in_flight,
+                                            kernel::time_point now);
 
 /// Remaining quarantine time of the digest; zero if it is not quarantined.
 [[nodiscard]] kernel::duration quarantined_for(const crash_ledger& ledger, std::uint64_t digest,
@@ -64,7 +64,7 @@
 void clear_suspicion(crash_ledger& ledger, std::uint64_t digest);
 
 /// Drops suspicions recorded since `from`, because the host assumes that its own link failed.
-void forgive(crash_ledger& ledger, kernel::time_point from);
+void drop_suspicions_since(crash_ledger& ledger, kernel::time_point from);
 
 void expire(crash_ledger& ledger, const quarantine_policy& rules, kernel::time_point now);
 [[nodiscard]] std::size_t quarantined_count(const crash_ledger& ledger, kernel::time_point now);
--- a/src/decide/scheduler.cpp
+++ b/src/decide/scheduler.cpp
@@ -36,19 +36,18 @@
 optional_refusal check_request(const scheduler_state& state, const request& work,
                                kernel::time_point now) {
     if (state.requests.contains(work.id)) {
-        return make_refusal(work, kernel::refusal_reason::malformed, {},
-                            "request id is already in use");
+        return make_refusal(work, kernel::refusal_reason::malformed, {}, "request id is in use");
     }
     if (work.deadline <= now) {
         return make_refusal(work, kernel::refusal_reason::deadline_passed, {});
     }
     if (work.attempts_made > 0 && !work.idempotent) {
         return make_refusal(work, kernel::refusal_reason::outcome_unknown, {},
-                            "request is not idempotent and was already sent by an earlier hop");
+                            "not idempotent and sent by an earlier hop");
     }
     if (work.attempts_made >= state.rules.retry.max_attempts) {
         return make_refusal(work, kernel::refusal_reason::retry_budget_spent, min_retry_delay,
-                            "earlier hops used all attempts");
+                            "attempts of earlier hops");
     }
     const auto digest = digest_of(work);
     if (is_confirmed(state.crashes, state.rules.quarantine, digest, now)) {
@@ -81,7 +80,7 @@
     bool any_fresh = false;
     for (const auto index : where.subset) {
         const auto& load = state.targets[index];
-        const bool available = !load.gone && !load.leaving && !is_ejected(load.health, now);
+        const bool available = !load.removed && !load.leaving && !is_ejected(load.health, now);
         any_available = any_available || available;
         any_fresh =
             any_fresh ||
@@ -154,7 +153,7 @@
 }
 
 optional_refusal check_rate(scheduler_state& state, const request& work, kernel::time_point now) {
-    const auto& rules = policy_of(state.rules, work.caller.str());
+    const auto& rules = caller_policy_of(state.rules, work.caller.str());
     if (rules.tokens_per_second <= 0) {
         return std::nullopt;
     }
@@ -168,7 +167,7 @@
     if (record.work.group.empty()) {
         return;
     }
-    auto& group = record.where->groups[record.work.group];
+    auto& group = record.dest->groups[record.work.group];
     group.size = std::max(group.size, record.work.group_size);
     group.open.insert(record.sequence);
 }
@@ -177,7 +176,7 @@
     auto owned = std::make_unique<request_record>();
     auto& record = *owned;
     record.work = std::move(work);
-    record.where = &where;
+    record.dest = &where;
     record.sequence = state.next_sequence++;
     record.submitted = now;
     state.by_sequence.emplace(record.sequence, &record);
@@ -243,7 +242,7 @@
     expire_requests(state, now, out);
     refuse_confirmed(state, now, out);
     sweep(state, now);
-    hedge_due(state, now, out);
+    run_hedge_checks(state, now, out);
     dispatch_all(state, now, out);
     return out;
 }
@@ -282,7 +281,7 @@
     const auto& state = *all.state;
     std::vector<target_view> out;
     for (const auto& load : state.targets) {
-        if (load.gone) {
+        if (load.removed) {
             continue;
         }
         out.push_back({.id = load.config.id,
--- a/src/decide/staleness.cpp
+++ b/src/decide/staleness.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-void note_version(pool_versions& versions, std::uint64_t version, kernel::time_point now) {
+void record_version(pool_versions& versions, std::uint64_t version, kernel::time_point now) {
     if (version <= versions.newest) {
         return;
     }
@@ -49,7 +49,7 @@
     return current_lag + std::floor(std::max(0.0, since_newest / seconds(versions.interval)));
 }
 
-bool waiting_pays(const swap_view& view, const pool_policy& rules) {
+bool should_wait_for_swap(const swap_view& view, const pool_policy& rules) {
     if (view.service_seconds <= view.seconds_to_swap) {
         return false;
     }
--- a/src/decide/staleness.hpp
+++ b/src/decide/staleness.hpp
@@ -11,7 +11,7 @@
     kernel::duration interval{}; ///< Smoothed time between versions; zero: unknown.
 };
 
-void note_version(pool_versions& versions, std::uint64_t version, kernel::time_point now);
+void record_version(pool_versions& versions, std::uint64_t version, kernel::time_point now);
 
 /// Oldest version that a sample may currently contain.
 [[nodiscard]] std::uint64_t oldest_allowed(const pool_versions& versions, const pool_policy& rules,
@@ -35,6 +35,6 @@
 /// A response started before the swap stalls while the engine loads weights and keeps tokens of the
 /// old version; a response started after it begins later but is fresh. The pool's weights set the
 /// trade-off: a latency-sensitive pool weighs idle seconds more, others weigh staleness more.
-[[nodiscard]] bool waiting_pays(const swap_view& view, const pool_policy& rules);
+[[nodiscard]] bool should_wait_for_swap(const swap_view& view, const pool_policy& rules);
 
 } // namespace cornelloom::decide
--- a/src/decide/target_load.cpp
+++ b/src/decide/target_load.cpp
@@ -27,7 +27,7 @@
     if (!load.report.known) {
         return 0;
     }
-    const double age = std::max(0.0, seconds(now - load.report.at));
+    const double age = std::max(0.0, seconds(now - load.report.as_of));
     return std::exp2(-age / std::max(seconds(rules.report_lifetime), 1e-9));
 }
 
@@ -55,7 +55,7 @@
     return 1 + (load.slowness - 1) * std::exp2(-age / slowness_half_life_seconds);
 }
 
-double nominal_seconds(const target_load& load, const answer_size& size, double running,
+double nominal_seconds(const target_load& load, const response_size& size, double running,
                        double service_seconds) {
     if (load.tokens_per_second <= 0) {
         return service_seconds;
@@ -63,16 +63,17 @@
     const double full_batch = std::max(1.0, static_cast<double>(load.config.capacity));
     const double stream_speed = load.tokens_per_second * max_stream_speedup / full_batch;
     const double speed = std::min(stream_speed, load.tokens_per_second / std::max(running, 1.0));
-    return size.generate / speed + size.read / (load.tokens_per_second * prompt_speedup);
+    return size.output_tokens / speed +
+           size.prompt_tokens / (load.tokens_per_second * prompt_speedup);
 }
 
-double predicted_seconds(const target_load& load, const answer_size& size, double service_seconds,
+double predicted_seconds(const target_load& load, const response_size& size, double service_seconds,
                          const placement_policy& rules, kernel::time_point now) {
     const double running = estimated_running(load, rules, now) + 1;
     return nominal_seconds(load, size, running, service_seconds) * current_slowness(load, now);
 }
 
-void observe_ratio(target_load& load, double ratio, double gain, kernel::time_point now) {
+void record_ratio(target_load& load, double ratio, double gain, kernel::time_point now) {
     const double sample = std::clamp(ratio, min_ratio, max_ratio);
     const double previous = current_slowness(load, now);
     load.slowness = previous + gain * (sample - previous);
--- a/src/decide/target_load.hpp
+++ b/src/decide/target_load.hpp
@@ -14,19 +14,19 @@
 struct reported_load {
     double running = 0;
     double own_in_flight = 0;
-    kernel::time_point at{}; ///< Time of the reported state: receipt minus age.
+    kernel::time_point as_of{}; ///< Time of the reported state: receipt minus age.
     bool known = false;
 };
 
 /// Placement state of one target. Only this host's own attempts are known exactly.
 struct target_load {
     target config;
-    distance how_far = distance::zone;
+    distance proximity = distance::zone;
     double observers = 1;
     bool first_ranked = false;
 
-    bool gone = false;     ///< No longer configured.
-    bool was_gone = false; ///< Value of `gone` before the configuration being applied.
+    bool removed = false;     ///< No longer configured.
+    bool was_removed = false; ///< Value of `removed` before the configuration being applied.
     bool leaving = false;
     bool loading = false;
     std::uint64_t version = 0;
@@ -38,8 +38,8 @@
 
     std::uint32_t in_flight = 0;
     std::uint32_t interactive_in_flight = 0;
-    std::uint32_t suspects = 0;   ///< Crash suspects in flight that are not proven safe.
-    kernel::time_point crashed{}; ///< Attempts sent up to then belong to the last crash.
+    std::uint32_t suspects = 0;      ///< Crash suspects in flight that are not proven safe.
+    kernel::time_point last_crash{}; ///< Attempts sent up to then belong to the last crash.
     bool has_crashed = false;
 
     double tokens_per_second = 0; ///< Total throughput, configured or reported.
@@ -48,9 +48,9 @@
 };
 
 /// Size of a response: prompt tokens to read and tokens to generate; both 0 for a service.
-struct answer_size {
-    double read = 0;
-    double generate = 0;
+struct response_size {
+    double prompt_tokens = 0;
+    double output_tokens = 0;
 };
 
 /// Weight of the load report: 1 when fresh, halved with each report lifetime.
@@ -72,15 +72,15 @@
 [[nodiscard]] double current_slowness(const target_load& load, kernel::time_point now);
 
 /// Seconds for a response at the configured speed when `running` requests share the target.
-/// `service_seconds` is the usual response time of the destination, used for services.
-[[nodiscard]] double nominal_seconds(const target_load& load, const answer_size& size,
+/// `service_seconds` is the typical response time of the destination, used for services.
+[[nodiscard]] double nominal_seconds(const target_load& load, const response_size& size,
                                      double running, double service_seconds);
 
-[[nodiscard]] double predicted_seconds(const target_load& load, const answer_size& size,
+[[nodiscard]] double predicted_seconds(const target_load& load, const response_size& size,
                                        double service_seconds, const placement_policy& rules,
                                        kernel::time_point now);
 
 /// Updates the slowness from a response or its progress; `gain` is the weight of the observation.
-void observe_ratio(target_load& load, double ratio, double gain, kernel::time_point now);
+void record_ratio(target_load& load, double ratio, double gain, kernel::time_point now);
 
 } // namespace cornelloom::decide
--- a/tests/decide/schedule_properties.cpp
+++ b/tests/decide/schedule_properties.cpp
@@ -156,7 +156,7 @@
             end(id);
         }
         apply(result.follow_up);
-        // A second answer to the same attempt must have no effect.
+        // A second response to the same attempt must have no effect.
         const auto again = on_complete(scheduler_, id, attempt, {10, 1}, now_);
         RC_ASSERT(again.decision == verdict::discard_duplicate);
     }
@@ -199,7 +199,7 @@
     }
 
     void end(const kernel::request_id& id) {
-        RC_ASSERT(!requests_.at(id).ended); // Exactly one final answer.
+        RC_ASSERT(!requests_.at(id).ended); // Exactly one final response.
         requests_.at(id).ended = true;
     }
 
--- a/tests/decide/scheduler_tests.cpp
+++ b/tests/decide/scheduler_tests.cpp
@@ -210,12 +210,12 @@
     const quarantine_policy rules;
     crash_ledger ledger;
     const kernel::time_point now{100s};
-    CHECK(judge_crash(ledger, rules, 1, {{7, 1s, false}}, now) == 0);
-    CHECK(judge_crash(ledger, rules, 2, {{7, 1s, true}}, now + 5s) == 7);
+    CHECK(attribute_crash(ledger, rules, 1, {{7, 1s, false}}, now) == 0);
+    CHECK(attribute_crash(ledger, rules, 2, {{7, 1s, true}}, now + 5s) == 7);
     quarantine(ledger, rules, {.digest = 8, .remaining = 600s, .crashed_target = 2}, now + 6s);
     CHECK_FALSE(is_confirmed(ledger, rules, 7, now + 10s));
     CHECK_FALSE(is_confirmed(ledger, rules, 8, now + 10s));
-    CHECK(judge_crash(ledger, rules, 3, {{7, 1s, true}}, now + 12s) == 7);
+    CHECK(attribute_crash(ledger, rules, 3, {{7, 1s, true}}, now + 12s) == 7);
     CHECK(is_confirmed(ledger, rules, 7, now + 15s));
 }
 
