--- a/src/front/batch_registry.cpp
+++ b/src/front/batch_desk.cpp
@@ -1,4 +1,4 @@
-#include "front/batch_registry.hpp"
+#include "front/batch_desk.hpp"
 
 #include "front/answers.hpp"
 #include "front/batch_drive.hpp"
--- a/src/front/batch_hand_over.hpp
+++ b/src/front/batch_hand_over.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "front/batch_registry.hpp"
+#include "front/batch_desk.hpp"
 
 #include <memory>
 
--- a/src/front/batch_start.hpp
+++ b/src/front/batch_start.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "front/batch_registry.hpp"
+#include "front/batch_desk.hpp"
 #include "front/early_start.hpp"
 
 namespace cornelloom::front {
--- a/src/front/load_scheduler.cpp
+++ b/src/front/order_giver.cpp
@@ -1,4 +1,4 @@
-#include "front/load_scheduler.hpp"
+#include "front/order_giver.hpp"
 
 #include "front/count_exchange.hpp"
 #include "front/load_limit.hpp"
--- a/src/front/process.cpp
+++ b/src/front/process.cpp
@@ -6,7 +6,7 @@
 #include "front/count_exchange.hpp"
 #include "front/follower.hpp"
 #include "front/gateway.hpp"
-#include "front/load_scheduler.hpp"
+#include "front/order_giver.hpp"
 #include "front/target_supplier.hpp"
 #include "front/usage_reporter.hpp"
 
--- a/src/front/store_client.hpp
+++ b/src/front/store_client.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "front/store_paths.hpp"
 #include "front/store_request.hpp"
+#include "front/store_ways.hpp"
 #include "loop/exchange.hpp"
 
 #include <functional>
--- a/tests/front/store_paths_tests.cpp
+++ b/tests/front/store_ways_tests.cpp
@@ -1,4 +1,4 @@
-#include "front/store_paths.hpp"
+#include "front/store_ways.hpp"
 
 #include <catch2/catch.hpp>
 
